--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -12,21 +12,21 @@
 
 from honeywharf.net import connect_times
 
-KNOWN_RED = Path(__file__).parent.parent / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+KNOWN_RED_FILE = Path(__file__).parent.parent / "KNOWN-RED.txt"
+MAX_KNOWN_RED = 3
 
 
 def known_red() -> dict[str, str]:
     """The listed tests by node id, each with its cause and issue."""
-    if not KNOWN_RED.exists():
+    if not KNOWN_RED_FILE.exists():
         return {}
-    lines = [line.strip() for line in KNOWN_RED.read_text().splitlines()]
+    lines = [line.strip() for line in KNOWN_RED_FILE.read_text().splitlines()]
     listed = {}
     for line in filter(None, lines):
         test, cause, issue = (part.strip() for part in line.split("|"))
         listed[test] = f"{cause}, {issue}"
-    if len(listed) > MOST_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt lists {len(listed)} tests, {MOST_KNOWN_RED} at most may be")
+    if len(listed) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"KNOWN-RED.txt lists {len(listed)} tests, {MAX_KNOWN_RED} at most may be")
     return listed
 
 
--- a/tests/process.py
+++ b/tests/proxy_process.py
@@ -11,30 +11,30 @@
 from pathlib import Path
 from typing import Any
 
-from tests.loopback import SETTINGS, WAIT_S, row
+from tests.proxy_harness import SETTINGS, WAIT_TIMEOUT_S, discovery_entry
 
-ROOT = Path(__file__).parent.parent
+REPOSITORY_ROOT = Path(__file__).parent.parent
 
 
-def write(path: Path, **changes: Any) -> dict[str, str]:
+def write_config(path: Path, **changes: Any) -> dict[str, str]:
     raw = {
         "name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS,
-        "known": {"generation": 1, "reset": True, "instances": [row("b", 1)]}, **changes,
+        "known": {"generation": 1, "reset": True, "instances": [discovery_entry("b", 1)]}, **changes,
     }
     file = path / "config.json"
     file.write_text(json.dumps(raw))
     return {**os.environ, "NODE_CONFIG": str(file)}
 
 
-class Process:
+class ProxyProcess:
     """The program, listening."""
 
     def __init__(self, path: Path, **changes: Any) -> None:
         descriptors = changes.pop("descriptors", 1024)
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "honeywharf"], cwd=ROOT, stderr=subprocess.PIPE, text=True,
-            env=write(path, **changes),
+            [sys.executable, "-m", "honeywharf"], cwd=REPOSITORY_ROOT, stderr=subprocess.PIPE, text=True,
+            env=write_config(path, **changes),
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)))
         assert self.process.stderr is not None
         line = self.process.stderr.readline()
@@ -42,8 +42,8 @@
         self.port = int(line.rpartition(":")[2])
 
     def connect(self) -> socket.socket:
-        made = socket.create_connection(("127.0.0.1", self.port), WAIT_S)
-        made.settimeout(WAIT_S)
+        made = socket.create_connection(("127.0.0.1", self.port), WAIT_TIMEOUT_S)
+        made.settimeout(WAIT_TIMEOUT_S)
         return made
 
     def get(self, path: str = "/health/ready") -> bytes:
@@ -51,7 +51,7 @@
             made.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
             return made.recv(4096)
 
-    def __enter__(self) -> Process:
+    def __enter__(self) -> ProxyProcess:
         return self
 
     def __exit__(self, *_: object) -> None:
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -10,7 +10,15 @@
 from honeywharf.net import downstream
 from honeywharf.net.clock import Clock
 from honeywharf.policy import list_freshness
-from tests.loopback import Backend, Client, Discovery, World, make_config, run, until
+from tests.proxy_harness import (
+    Backend,
+    Client,
+    Discovery,
+    ProxyHarness,
+    make_config,
+    run_with_timeout,
+    wait_until,
+)
 
 PROXIES, BACKENDS, PER_S = 24, 10, 24.0  # calls a second, over all proxies
 WARM_S, COLD_S = 40.0, 10.0
@@ -27,8 +35,8 @@
         self.ms = 1.8e12
 
 
-def on_clock(w: World, clock: Clock) -> None:
-    proxy = w.proxy
+def on_clock(harness: ProxyHarness, clock: Clock) -> None:
+    proxy = harness.proxy
     proxy.clock = proxy.driver.clock = proxy.pool.clock = proxy.frontend.clock = proxy.watch.clock = clock
     proxy.watch.expiry.clock = clock
 
@@ -50,22 +58,22 @@
         backend = await Backend().start()
 
         def rows(started_ms: float) -> list[dict[str, object]]:
-            return [backend.row(f"b{i}", startedAtMs=int(started_ms)) for i in range(BACKENDS)]
+            return [backend.discovery_entry(f"b{i}", startedAtMs=int(started_ms)) for i in range(BACKENDS)]
 
-        worlds: list[World] = []
+        worlds: list[ProxyHarness] = []
         clients: list[Client] = []
 
         async def join() -> None:
             discovery = await Discovery().start()
-            worlds.append(World(make_config(
+            worlds.append(ProxyHarness(make_config(
                 discovery.port, rows(0.0), nInstances=PROXIES, tier=1, tiers=["t", "u"],
                 contract={"coldShare": COLD_SHARE, "warmAfterMs": WARM_AFTER_MS},
                 report={"fields": [], "how": "silent"}), discovery))
             on_clock(worlds[-1], clock)
-            discovery.tell(1, *rows(0.0), reset=True)
+            discovery.publish(1, *rows(0.0), reset=True)
             await worlds[-1].start()
-            await until(lambda: worlds[-1].proxy.watch.first_poll_done)
-            clients.append(await Client.to(worlds[-1].port))
+            await wait_until(lambda: worlds[-1].proxy.watch.first_poll_done)
+            clients.append(await Client.connect(worlds[-1].port))
 
         async def play(seconds: float, first: int) -> int:
             sent, end = len(backend.requests), clock.ms + seconds * 1000.0
@@ -73,7 +81,7 @@
                 clock.ms += rng.expovariate(PER_S) * 1000.0
                 client = clients[first + rng.randrange(PROXIES)]
                 client.send(left="60000m")
-                await client.status()
+                await client.read_status()
             return len(backend.requests) - sent
 
         for _ in range(PROXIES):
@@ -81,17 +89,17 @@
         await play(WARM_S, 0)
         for _ in range(restarted):
             await join()
-        for w in worlds:
-            w.discovery.tell(2, *rows(clock.ms), reset=True)
-        await until(lambda: all(w.proxy.directory.generation == 2 for w in worlds))
+        for harness in worlds:
+            harness.discovery.publish(2, *rows(clock.ms), reset=True)
+        await wait_until(lambda: all(harness.proxy.directory.generation == 2 for harness in worlds))
         sent = await play(COLD_S, restarted)
         part = PER_S * COLD_S * COLD_SHARE  # the first call to each waits for what it can do at its start
         assert sent <= part + 2.0 * math.sqrt(part) + 2.0
         assert sent > 0 if restarted else sent > part / 3.0
-        for w in worlds:
-            assert w.running is not None
-            w.running.cancel()
-            w.proxy.frontend.stop_listening()
-            await w.discovery.stop()
+        for harness in worlds:
+            assert harness.task is not None
+            harness.task.cancel()
+            harness.proxy.frontend.stop_listening()
+            await harness.discovery.stop()
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
--- a/tests/test_dialing.py
+++ b/tests/test_dialing.py
@@ -14,9 +14,19 @@
 from honeywharf.net.clock import Clock
 from honeywharf.net.connect_times import LATE_AFTER, LEAST_PATIENCE_MS, SAMPLES, ConnectTimes
 from honeywharf.net.upstream import Pool
-from tests.loopback import Backend, Client, Ending, World, reply, run, soon, until, world
+from tests.proxy_harness import (
+    Backend,
+    Client,
+    ProxyHarness,
+    RecordingCall,
+    make_response,
+    run_with_timeout,
+    synced_proxy,
+    wait_until,
+    with_timeout,
+)
 
-O = api.Outcome  # noqa: E741
+Outcome = api.Outcome
 
 
 class Late:
@@ -51,22 +61,22 @@
     return pool, loop
 
 
-def start(pool: Pool, *bodies: bytes) -> list[Ending]:
-    calls = [Ending(body) for body in bodies]
+def start(pool: Pool, *bodies: bytes) -> list[RecordingCall]:
+    calls = [RecordingCall(body) for body in bodies]
     for call in calls:
         pool.start(call)
     return calls
 
 
 @asynccontextmanager
-async def proxy(*late: int, **changes: Any) -> AsyncIterator[tuple[World, Backend, Late]]:
+async def proxy(*late: int, **changes: Any) -> AsyncIterator[tuple[ProxyHarness, Backend, Late]]:
     """A running proxy with one backend; its connections with these numbers come up only once they are let."""
     backend = await Backend().start()
     changes = {"bounds": {"connectTimeoutMs": 60000.0}, **changes}
-    async with world([backend.row("b")], **changes) as w:
-        loop = Late(w.proxy.loop, *late)
-        w.proxy.pool.loop = loop  # type: ignore[assignment]
-        yield w, backend, loop
+    async with synced_proxy([backend.discovery_entry("b")], **changes) as harness:
+        loop = Late(harness.proxy.loop, *late)
+        harness.proxy.pool.loop = loop  # type: ignore[assignment]
+        yield harness, backend, loop
     await backend.stop()
 
 
@@ -76,60 +86,60 @@
         backend = await Backend().start()
         pool, loop = make_pool(backend, *range(late))
         (call,) = start(pool, b"once")
-        await soon(call.outcome.wait())
-        assert (call.outcomes, loop.dialled, pool.late) == ([O.OK], late + 1, late)
+        await with_timeout(call.finished.wait())
+        assert (call.outcomes, loop.dialled, pool.late) == ([Outcome.OK], late + 1, late)
         loop.let.set()
-        await until(lambda: backend.connections == late + 1)
-        await until(lambda: len(pool.backends["b"].idle) == late + 1)
+        await wait_until(lambda: backend.connection_count == late + 1)
+        await wait_until(lambda: len(pool.backends["b"].idle) == late + 1)
         others = start(pool, *[b"%d" % i for i in range(late)])
         for other in others:  # each on one of the connections that came up late
-            await soon(other.outcome.wait())
+            await with_timeout(other.finished.wait())
         assert loop.dialled == late + 1
         assert sorted(body for _, _, body in backend.requests) == sorted(
             [b"once", *[b"%d" % i for i in range(late)]])
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_backend_whose_first_connection_never_comes_up_serves_the_request() -> None:
     async def main() -> None:
-        async with proxy(0) as (w, backend, _):
-            client = await Client.to(w.port)
+        async with proxy(0) as (harness, backend, _):
+            client = await Client.connect(harness.port)
             client.send("pay", b"x")
-            assert await client.status() == 200
-            assert [e.outcome for e in w.ended()] == [O.OK]
+            assert await client.read_status() == 200
+            assert [e.outcome for e in harness.ended_attempts()] == [Outcome.OK]
             assert len(backend.requests) == 1
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_backend_that_closes_after_each_answer_is_reached_past_late_connections() -> None:
     async def main() -> None:
-        async with proxy(1, 3) as (w, backend, loop):
-            backend.then = reply(200, b"x", b"Connection: close")
-            client = await Client.to(w.port)
+        async with proxy(1, 3) as (harness, backend, loop):
+            backend.default_response = make_response(200, b"x", b"Connection: close")
+            client = await Client.connect(harness.port)
             for _ in range(3):
                 client.send("pay", b"x")
-                assert await client.status() == 200
-            assert {e.outcome for e in w.ended()} == {O.OK}
+                assert await client.read_status() == 200
+            assert {e.outcome for e in harness.ended_attempts()} == {Outcome.OK}
             assert (loop.dialled, len(backend.requests)) == (5, 3)
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_call_that_waits_takes_a_connection_that_another_call_frees() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.script = [None]
+        backend.scripted_responses = [None]
         pool, loop = make_pool(backend, 1, most=2)
         first, second = start(pool, b"first", b"second")
-        await soon(backend.came.wait())
-        await until(lambda: pool.late == 1)
+        await with_timeout(backend.request_received.wait())
+        await wait_until(lambda: pool.late == 1)
         for writer in list(backend.writers):
-            writer.write(reply())
-        await soon(second.outcome.wait())
-        assert (first.outcomes, second.outcomes, loop.dialled) == ([O.OK], [O.OK], 2)
+            writer.write(make_response())
+        await with_timeout(second.finished.wait())
+        assert (first.outcomes, second.outcomes, loop.dialled) == ([Outcome.OK], [Outcome.OK], 2)
         assert [body for _, _, body in backend.requests] == [b"first", b"second"]
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_further_connections_keep_to_the_bound_and_close_no_idle_one() -> None:
@@ -137,19 +147,19 @@
         backend, other = await Backend().start(), await Backend().start()
         pool, loop = make_pool(backend, 1, most=2)
         pool.set_endpoint("other", ("127.0.0.1", other.port), None, open_for_work=True)
-        kept = Ending(b"")
+        kept = RecordingCall(b"")
         kept.endpoint = "other"
         pool.start(kept)
-        await soon(kept.outcome.wait())
+        await with_timeout(kept.finished.wait())
         (call,) = start(pool, b"")
-        await until(lambda: pool.late == 1)
+        await wait_until(lambda: pool.late == 1)
         assert (loop.dialled, pool.count, len(pool.backends["other"].idle)) == (2, 2, 1)
         loop.let.set()
-        await soon(call.outcome.wait())
-        assert call.outcomes == [O.OK]
+        await with_timeout(call.finished.wait())
+        assert call.outcomes == [Outcome.OK]
         await backend.stop()
         await other.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_backend_that_never_comes_up_is_dialled_ever_more_rarely() -> None:
@@ -157,20 +167,20 @@
         backend = await Backend().start()
         pool, loop = make_pool(backend, *range(1000), timeout_ms=300.0)
         (call,) = start(pool, b"")
-        await soon(call.outcome.wait())
-        assert call.outcomes == [O.CONNECT_TIMEOUT]
+        await with_timeout(call.finished.wait())
+        assert call.outcomes == [Outcome.CONNECT_TIMEOUT]
         assert 2 <= loop.dialled <= 6  # after 0, 10, 30, 70, 150 ms, and none waits that long again
         before = loop.dialled
         (call,) = start(pool, b"")
-        await soon(call.outcome.wait())
+        await with_timeout(call.finished.wait())
         assert loop.dialled <= before + 2
         loop.let.set()
-        await until(lambda: not pool.tasks)
+        await wait_until(lambda: not pool.tasks)
         (call,) = start(pool, b"")
-        await soon(call.outcome.wait())
-        assert (call.outcomes, pool.backends["b"].late_in_a_row) == ([O.OK], 0)
+        await with_timeout(call.finished.wait())
+        assert (call.outcomes, pool.backends["b"].late_in_a_row) == ([Outcome.OK], 0)
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_backend_that_refuses_while_a_connection_is_late_is_not_dialled_over_and_over() -> None:
@@ -179,10 +189,10 @@
         pool, loop = make_pool(backend, 0)
         loop.fault = ConnectionRefusedError(errno.ECONNREFUSED, "refused")
         (call,) = start(pool, b"")
-        await soon(call.outcome.wait())
-        assert (call.outcomes, loop.dialled) == ([O.CONNECT_FAILED], 2)
+        await with_timeout(call.finished.wait())
+        assert (call.outcomes, loop.dialled) == ([Outcome.CONNECT_FAILED], 2)
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_lack_of_descriptors_ends_no_call_whose_connection_still_comes_up() -> None:
@@ -191,16 +201,16 @@
         pool, loop = make_pool(backend, 0)
         loop.fault = OSError(errno.EMFILE, "no descriptor")
         (call,) = start(pool, b"")
-        await until(lambda: loop.dialled == 2 and len(pool.tasks) == 1)
+        await wait_until(lambda: loop.dialled == 2 and len(pool.tasks) == 1)
         loop.let.set()
-        await soon(call.outcome.wait())
-        assert (call.outcomes, loop.dialled) == ([O.OK], 2)
+        await with_timeout(call.finished.wait())
+        assert (call.outcomes, loop.dialled) == ([Outcome.OK], 2)
         pool.backends["b"].idle[0].answered_ms += 1e6  # as if it never settled
         (call,) = start(pool, b"")  # and where none does, the backend is not to blame
-        await soon(call.outcome.wait())
-        assert (call.outcomes, pool.count) == ([O.NOT_SENT], 1)
+        await with_timeout(call.finished.wait())
+        assert (call.outcomes, pool.count) == ([Outcome.NOT_SENT], 1)
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize("change", ["drains", "leaves", "starts anew", "moves"])
@@ -210,7 +220,7 @@
         backend, other = await Backend().start(), await Backend().start()
         pool, loop = make_pool(backend, *range(1000))
         calls = start(pool, b"1", b"2")
-        await until(lambda: pool.late >= 3)
+        await wait_until(lambda: pool.late >= 3)
         where = ("127.0.0.1", other.port if change == "moves" else backend.port)
         if change == "leaves":
             pool.remove_endpoint("b")
@@ -218,47 +228,49 @@
             pool.set_endpoint(
                 "b", where, 2.0 if change == "starts anew" else None, open_for_work=change != "drains")
         for call in calls:
-            await soon(call.outcome.wait())
-            assert call.outcomes == [O.NOT_SENT]
+            await with_timeout(call.finished.wait())
+            assert call.outcomes == [Outcome.NOT_SENT]
         loop.let.set()
-        await until(lambda: not pool.tasks)
-        await until(lambda: backend.closed == loop.dialled)
+        await wait_until(lambda: not pool.tasks)
+        await wait_until(lambda: backend.closed_connection_count == loop.dialled)
         assert (pool.count, backend.requests, other.requests) == (0, [], [])
         await backend.stop()
         await other.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_client_that_leaves_while_several_connections_come_up_has_nothing_sent_on() -> None:
     async def main() -> None:
-        async with proxy(*range(1000)) as (w, backend, loop):
-            client = await Client.to(w.port)
+        async with proxy(*range(1000)) as (harness, backend, loop):
+            client = await Client.connect(harness.port)
             client.send("pay", b"left")
-            await until(lambda: w.proxy.pool.late >= 2)
+            await wait_until(lambda: harness.proxy.pool.late >= 2)
             client.writer.close()
-            await until(lambda: w.ended() != [])
+            await wait_until(lambda: harness.ended_attempts() != [])
             dialled = loop.dialled
             loop.let.set()
-            await until(lambda: not w.proxy.pool.tasks)
-            assert [(e.outcome, e.request_over) for e in w.ended()] == [(O.NOT_SENT, True)]
-            assert (loop.dialled, len(w.proxy.pool.backends["b"].idle)) == (dialled, dialled)
+            await wait_until(lambda: not harness.proxy.pool.tasks)
+            assert [(e.outcome, e.request_over) for e in harness.ended_attempts()] == [
+                (Outcome.NOT_SENT, True)
+            ]
+            assert (loop.dialled, len(harness.proxy.pool.backends["b"].idle)) == (dialled, dialled)
             assert backend.requests == []
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_call_whose_time_runs_out_before_it_left_has_run_nothing() -> None:
     """Guards against failing, and blaming a backend for, a request that could have been refused."""
     async def main() -> None:
-        async with proxy(*range(1000)) as (w, backend, loop):
-            client = await Client.to(w.port)
+        async with proxy(*range(1000)) as (harness, backend, loop):
+            client = await Client.connect(harness.port)
             client.send("pay", b"x", "200m")
-            assert await client.status() == 503
-            assert {e.outcome for e in w.ended()} == {O.NOT_SENT}
-            assert w.ended()[0].waited_ms == w.ended()[0].elapsed_ms
+            assert await client.read_status() == 503
+            assert {e.outcome for e in harness.ended_attempts()} == {Outcome.NOT_SENT}
+            assert harness.ended_attempts()[0].waited_ms == harness.ended_attempts()[0].elapsed_ms
             loop.let.set()
-            await until(lambda: not w.proxy.pool.tasks)
+            await wait_until(lambda: not harness.proxy.pool.tasks)
             assert backend.requests == []
-    run(main())
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize("late", [True, False])
@@ -269,21 +281,21 @@
              "group": "all", "windowMs": window_ms}
 
     async def main() -> None:
-        async with proxy(*range(1, 1000 if late else 1), profiles=[order]) as (w, backend, loop):
-            backend.script = [reply(500, b"x", b"Connection: close")]
-            client = await Client.to(w.port)
+        async with proxy(*range(1, 1000 if late else 1), profiles=[order]) as (harness, backend, loop):
+            backend.scripted_responses = [make_response(500, b"x", b"Connection: close")]
+            client = await Client.connect(harness.port)
             client.send("order", b"x")
-            first = await w.outcome(1)
-            ended_ms = w.proxy.clock.now()
+            first = await harness.wait_for_ended_attempt(1)
+            ended_ms = harness.proxy.clock.now()
             if late:
-                await until(lambda: w.proxy.clock.now() > ended_ms + window_ms)
+                await wait_until(lambda: harness.proxy.clock.now() > ended_ms + window_ms)
                 loop.let.set()
-            assert await client.status() == (503 if late else 200)
-            second = await w.outcome(2)
-            assert first.outcome is O.ERROR
-            assert second.outcome is (O.NOT_SENT if late else O.OK)
+            assert await client.read_status() == (503 if late else 200)
+            second = await harness.wait_for_ended_attempt(2)
+            assert first.outcome is Outcome.ERROR
+            assert second.outcome is (Outcome.NOT_SENT if late else Outcome.OK)
             assert len(backend.requests) == (1 if late else 2)
-    run(main())
+    run_with_timeout(main())
 
 
 def test_the_patience_follows_the_quicker_connections_and_survives_many_late_ones() -> None:
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_moves.py
@@ -7,84 +7,84 @@
 import pytest
 
 from honeywharf import interface as api
-from tests.loopback import (
+from tests.proxy_harness import (
     Backend,
     Client,
     Discovery,
-    World,
-    lists,
-    reply,
-    row,
-    run,
-    soon,
-    until,
-    world,
+    ProxyHarness,
+    discovery_entry,
+    make_response,
+    received_lists,
+    run_with_timeout,
+    synced_proxy,
+    wait_until,
+    with_timeout,
 )
 
 
-async def moved(w: World, discovery: Discovery, held: int = 1) -> None:
+async def moved(harness: ProxyHarness, discovery: Discovery, held: int = 1) -> None:
     """Wait until the watch stands at that discovery: the changes since the list held first, then a watch."""
-    await until(lambda: len(discovery.calls) >= 2)
-    assert discovery.calls[0] == b"GET /registry/instances?after=%d&wait_ms=0 HTTP/1.1" % held
-    assert b"?after=" in discovery.calls[1]
-    assert b"&wait_ms=4000 " in discovery.calls[1]
+    await wait_until(lambda: len(discovery.request_lines) >= 2)
+    assert discovery.request_lines[0] == b"GET /registry/instances?after=%d&wait_ms=0 HTTP/1.1" % held
+    assert b"?after=" in discovery.request_lines[1]
+    assert b"&wait_ms=4000 " in discovery.request_lines[1]
 
 
 def test_a_moved_watch_goes_on_from_the_list_held_and_keeps_its_state() -> None:
     """Guards against full lists for all proxies at once, which take longer than the list held may be used."""
     async def main() -> None:
         backend, other = await Backend().start(), await Discovery().start()
-        backend.then = None
-        async with world([backend.row("b")]) as w:
-            await until(lambda: len(w.discovery.calls) == 2)
-            client = await Client.to(w.port)
+        backend.default_response = None
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            await wait_until(lambda: len(harness.discovery.request_lines) == 2)
+            client = await Client.connect(harness.port)
             client.send()
-            await soon(backend.came.wait())
-            record = w.proxy.driver.balancer.host_set.servers["b"]
-            w.proxy.watch.change_address(("127.0.0.1", other.port))
-            assert w.proxy.watch.first_poll_done  # it stays in service
-            await until(lambda: len(other.calls) == 1)
-            w.discovery.tell(50, row("late", 9))  # the old connection speaks up late
-            other.tell(3, row("c", 2), reset=False)
-            await moved(w, other)
-            assert b"after=3&" in other.calls[1]
-            assert [e.kind for e in lists(w)] == [api.ListKind.CACHED, api.ListKind.CHANGES]
-            assert w.proxy.pool.has_endpoint("c")
-            assert w.proxy.driver.balancer.host_set.servers["b"] is record
-            assert not w.proxy.pool.has_endpoint("late")
+            await with_timeout(backend.request_received.wait())
+            record = harness.proxy.driver.balancer.host_set.servers["b"]
+            harness.proxy.watch.change_address(("127.0.0.1", other.port))
+            assert harness.proxy.watch.first_poll_done  # it stays in service
+            await wait_until(lambda: len(other.request_lines) == 1)
+            harness.discovery.publish(50, discovery_entry("late", 9))  # the old connection speaks up late
+            other.publish(3, discovery_entry("c", 2), reset=False)
+            await moved(harness, other)
+            assert b"after=3&" in other.request_lines[1]
+            assert [e.kind for e in received_lists(harness)] == [api.ListKind.CACHED, api.ListKind.CHANGES]
+            assert harness.proxy.pool.has_endpoint("c")
+            assert harness.proxy.driver.balancer.host_set.servers["b"] is record
+            assert not harness.proxy.pool.has_endpoint("late")
             for writer in list(backend.writers):
-                writer.write(reply())
-            assert await client.status() == 200
-            assert backend.connections == 1
-            for writer in list(w.discovery.connections):  # and its late loss touches nothing
+                writer.write(make_response())
+            assert await client.read_status() == 200
+            assert backend.connection_count == 1
+            for writer in list(harness.discovery.connections):  # and its late loss touches nothing
                 writer.transport.abort()
-            other.tell(4, row("d", 3))
-            await until(lambda: w.proxy.pool.has_endpoint("d"))
+            other.publish(4, discovery_entry("d", 3))
+            await wait_until(lambda: harness.proxy.pool.has_endpoint("d"))
             assert len(other.connections) == 1
         await other.stop()
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_watch_moved_again_and_again_ends_at_the_last_address() -> None:
     async def main() -> None:
         first, last = await Discovery().start(), await Discovery().start()
-        async with world([row("b", 1)]) as w:
+        async with synced_proxy([discovery_entry("b", 1)]) as harness:
             for _ in range(5):  # each while the connection before is still coming up
-                w.proxy.watch.change_address(("127.0.0.1", first.port))
+                harness.proxy.watch.change_address(("127.0.0.1", first.port))
                 await asyncio.sleep(0)
-                w.proxy.watch.change_address(("127.0.0.1", last.port))
+                harness.proxy.watch.change_address(("127.0.0.1", last.port))
                 await asyncio.sleep(0)
-            await until(lambda: len(last.calls) >= 1)
-            last.tell(2, row("e", 5), row("b", 1, lifecycle="removed"))
-            await moved(w, last)
+            await wait_until(lambda: len(last.request_lines) >= 1)
+            last.publish(2, discovery_entry("e", 5), discovery_entry("b", 1, lifecycle="removed"))
+            await moved(harness, last)
             assert len(last.connections) == 1
-            assert w.proxy.pool.has_endpoint("e")
-            assert not w.proxy.pool.has_endpoint("b")
-            await until(lambda: not first.connections)
+            assert harness.proxy.pool.has_endpoint("e")
+            assert not harness.proxy.pool.has_endpoint("b")
+            await wait_until(lambda: not first.connections)
         await first.stop()
         await last.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_an_address_that_is_not_up_yet_is_tried_until_it_answers() -> None:
@@ -92,38 +92,38 @@
         other = await Discovery().start()
         port = other.port
         await other.stop()
-        async with world([row("b", 1)]) as w:
-            w.proxy.watch.change_address(("127.0.0.1", port))
-            await until(lambda: w.proxy.watch.failures >= 2)
-            assert w.proxy.watch.first_poll_done
-            assert w.proxy.pool.has_endpoint("b")
+        async with synced_proxy([discovery_entry("b", 1)]) as harness:
+            harness.proxy.watch.change_address(("127.0.0.1", port))
+            await wait_until(lambda: harness.proxy.watch.failures >= 2)
+            assert harness.proxy.watch.first_poll_done
+            assert harness.proxy.pool.has_endpoint("b")
             await other.start(port)
-            other.answers.put_nowait(reply(503))
-            other.tell(2, row("f", 6))
-            await until(lambda: w.proxy.pool.has_endpoint("f"))
-            assert other.calls[:2] == [b"GET /registry/instances?after=1&wait_ms=0 HTTP/1.1"] * 2
+            other.responses.put_nowait(make_response(503))
+            other.publish(2, discovery_entry("f", 6))
+            await wait_until(lambda: harness.proxy.pool.has_endpoint("f"))
+            assert other.request_lines[:2] == [b"GET /registry/instances?after=1&wait_ms=0 HTTP/1.1"] * 2
         await other.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_watch_moves_while_the_proxy_drains() -> None:
     async def main() -> None:
         backend, other = await Backend().start(), await Discovery().start()
-        backend.then = None
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
+        backend.default_response = None
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
             client.send()
-            await soon(backend.came.wait())
-            w.proxy.drain()
-            w.proxy.watch.change_address(("127.0.0.1", other.port))
-            other.tell(1, backend.row("b"))
-            await moved(w, other)
+            await with_timeout(backend.request_received.wait())
+            harness.proxy.drain()
+            harness.proxy.watch.change_address(("127.0.0.1", other.port))
+            other.publish(1, backend.discovery_entry("b"))
+            await moved(harness, other)
             for writer in list(backend.writers):
-                writer.write(reply())
-            assert await client.status() == 200
+                writer.write(make_response())
+            assert await client.read_status() == 200
         await other.stop()
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize("moves", [True, False])
@@ -132,22 +132,24 @@
     """Guards against entries that the service has lost, as it started anew or another one answers."""
     async def main() -> None:
         other = await Discovery().start()
-        async with world([row("b", 1)], discovery=mode, contract={"askEveryMs": 1000.0}) as w:
-            await until(lambda: len(w.discovery.calls) == 2)
+        async with synced_proxy(
+            [discovery_entry("b", 1)], discovery=mode, contract={"askEveryMs": 1000.0}
+        ) as harness:
+            await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             if moves:
-                w.proxy.watch.change_address(("127.0.0.1", other.port))
-            asked = other if moves else w.discovery
+                harness.proxy.watch.change_address(("127.0.0.1", other.port))
+            asked = other if moves else harness.discovery
             calls = 0 if moves else 1
-            await until(lambda: len(asked.calls) == calls + 1)
-            asked.tell(0, row("lost", 9))
-            await until(lambda: len(asked.calls) == calls + 2)
-            assert asked.calls[-1] == b"GET /registry/instances HTTP/1.1"
-            assert w.proxy.pool.has_endpoint("b")
-            assert not w.proxy.pool.has_endpoint("lost")
-            asked.tell(0, row("c", 2))
-            await until(lambda: w.proxy.pool.has_endpoint("c"))
-            assert not w.proxy.pool.has_endpoint("b")
-            await until(lambda: len(asked.calls) == calls + 3)
-            assert b"?after=0&" in asked.calls[-1]
+            await wait_until(lambda: len(asked.request_lines) == calls + 1)
+            asked.publish(0, discovery_entry("lost", 9))
+            await wait_until(lambda: len(asked.request_lines) == calls + 2)
+            assert asked.request_lines[-1] == b"GET /registry/instances HTTP/1.1"
+            assert harness.proxy.pool.has_endpoint("b")
+            assert not harness.proxy.pool.has_endpoint("lost")
+            asked.publish(0, discovery_entry("c", 2))
+            await wait_until(lambda: harness.proxy.pool.has_endpoint("c"))
+            assert not harness.proxy.pool.has_endpoint("b")
+            await wait_until(lambda: len(asked.request_lines) == calls + 3)
+            assert b"?after=0&" in asked.request_lines[-1]
         await other.stop()
-    run(main())
+    run_with_timeout(main())
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -10,7 +10,15 @@
 
 from honeywharf import interface as api
 from honeywharf.net import downstream, http1
-from tests.loopback import Backend, Client, reply, run, soon, until, world
+from tests.proxy_harness import (
+    Backend,
+    Client,
+    make_response,
+    run_with_timeout,
+    synced_proxy,
+    wait_until,
+    with_timeout,
+)
 
 HEAD = b"X-Correlation-Id: abc\r\nX-Service-Class: read\r\nX-Time-Left: 900m\r\n"
 ORDER, PAY = HEAD.replace(b"read", b"order"), HEAD.replace(b"read", b"pay")
@@ -35,64 +43,70 @@
 def test_bad_input_is_answered_by_the_proxy_and_sent_nowhere(raw: bytes, status: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
-            assert await client.ask(raw) == status
-            assert await client.closed()
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
+            assert await client.round_trip(raw) == status
+            assert await client.reaches_eof()
             assert backend.requests == []
-            other = await Client.to(w.port)  # and the others are served
+            other = await Client.connect(harness.port)  # and the others are served
             other.send()
-            assert await other.status() == 200
+            assert await other.read_status() == 200
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize("path", [b"/", b"/apis", b"/health", b"/health/ready/x", b"*"])
 def test_an_unknown_path_is_not_found_and_the_connection_stays(path: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
-            assert await client.ask(b"OPTIONS " + path + b" HTTP/1.1\r\n" + HEAD + b"\r\n") == 404
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
+            assert await client.round_trip(b"OPTIONS " + path + b" HTTP/1.1\r\n" + HEAD + b"\r\n") == 404
             client.send()
-            assert await client.status() == 200
+            assert await client.read_status() == 200
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_requests_on_one_connection_are_answered_in_their_order() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.script = [reply(200, b"one"), reply(200, b"two"), reply(200, b"three")]
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
+        backend.scripted_responses = [
+            make_response(200, b"one"),
+            make_response(200, b"two"),
+            make_response(200, b"three"),
+        ]
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
             names = [client.send() for _ in range(3)]
-            assert [(await client.answer())[2] for _ in names] == [b"one", b"two", b"three"]
+            assert [(await client.read_response())[2] for _ in names] == [b"one", b"two", b"three"]
             assert [r[1][b"x-correlation-id"].decode() for r in backend.requests] == names
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize("number", [downstream.MAX_PIPELINED + 1, 400])
 def test_a_client_that_sends_requests_by_the_hundred_is_answered_once_and_closed(number: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
-        async with world([backend.row("b")]) as w:
-            client, other = await Client.to(w.port), await Client.to(w.port)
+        backend.default_response = None
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for k in range(number):
                 client.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"abc", b"abc%d" % k) + b"\r\n")
-            assert await client.status() == 400
-            assert await client.closed()
+            assert await client.read_status() == 400
+            assert await client.reaches_eof()
             assert len(backend.requests) <= 1
-            backend.then = reply()
+            backend.default_response = make_response()
             other.send()
-            assert await other.status() == 200
+            assert await other.read_status() == 200
             for writer in list(backend.writers):
-                writer.write(reply())
-            await until(lambda: not w.proxy.driver.requests and w.proxy.driver.open_requests == 0)
+                writer.write(make_response())
+            await wait_until(
+                lambda: not harness.proxy.driver.requests and harness.proxy.driver.open_requests == 0
+            )
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize("raw", [
@@ -104,29 +118,29 @@
     """It is read and thrown away for a while, since closing on unread bytes would take the answer back."""
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
             client.writer.write(raw)
-            assert await client.status() >= 400
+            assert await client.read_status() >= 400
             with suppress(ConnectionError):
-                assert await client.closed()
-            await until(lambda: not w.proxy.frontend.connections)
+                assert await client.reaches_eof()
+            await wait_until(lambda: not harness.proxy.frontend.connections)
             assert backend.requests == []
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_last_answer_arrives_though_more_was_sent_behind_the_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
             client.send("read", b"", "4000m", "Connection: close")
             client.writer.write(b"x" * 100_000)
-            assert await client.status() == 200
-            await until(lambda: not w.proxy.frontend.connections)
+            assert await client.read_status() == 200
+            await wait_until(lambda: not harness.proxy.frontend.connections)
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nContent-Le", b"GET /none HTTP/1.1\r\n\r\n"])
@@ -136,92 +150,92 @@
     monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
 
     async def main() -> None:
-        async with world([]) as w:
-            client = await Client.to(w.port)
+        async with synced_proxy([]) as harness:
+            client = await Client.connect(harness.port)
             client.writer.write(sent)
-            await soon(client.reader.read())  # to its end
-            front = w.proxy.frontend
-            await until(lambda: not front.connections)
+            await with_timeout(client.reader.read())  # to its end
+            front = harness.proxy.frontend
+            await wait_until(lambda: not front.connections)
             assert not any((front.silent, front.partial, front.idle))
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_time_left_of_years_is_held_to_the_deadline_of_the_class() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
             client.send("read", b"", "999999999999m")
-            assert await client.status() == 200
-            (event,) = [e for e in w.events if isinstance(e, api.RequestArrived)]
+            assert await client.read_status() == 200
+            (event,) = [e for e in harness.events if isinstance(e, api.RequestArrived)]
             assert event.remaining_ms <= 5000.0
             left = http1.duration(backend.requests[0][1][b"x-time-left"])
             assert left is not None
             assert left <= 5000.0
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_sound_request_is_answered_before_the_malformed_one_behind_it() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
             client.send()
             client.writer.write(b"nonsense\r\n\r\n")
-            assert await client.status() == 200
-            assert await client.status() == 400
-            assert await client.closed()
+            assert await client.read_status() == 200
+            assert await client.read_status() == 400
+            assert await client.reaches_eof()
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_client_that_asks_for_it_is_told_to_go_on() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
             client.writer.write(
                 b"POST /api HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n"
                 + HEAD.replace(b"read", b"pay") + b"\r\n")
-            assert await client.status() == 100
+            assert await client.read_status() == 100
             client.writer.write(b"ok")
-            assert await client.status() == 200
+            assert await client.read_status() == 200
             assert backend.requests[0][2] == b"ok"
             assert b"expect" not in backend.requests[0][1]
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_over_the_bound_on_open_requests_a_request_is_refused_at_once() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
-        async with world([backend.row("b")], bounds={"openCap": 1}) as w:
-            first, second = await Client.to(w.port), await Client.to(w.port)
+        backend.default_response = None
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"openCap": 1}) as harness:
+            first, second = await Client.connect(harness.port), await Client.connect(harness.port)
             first.send()
-            await soon(backend.came.wait())
+            await with_timeout(backend.request_received.wait())
             second.send()
-            assert await second.status() == 503
+            assert await second.read_status() == 503
             assert len(backend.requests) == 1
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_an_id_that_is_open_is_not_taken_again() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
-        async with world([backend.row("b")]) as w:
-            first, second = await Client.to(w.port), await Client.to(w.port)
+        backend.default_response = None
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            first, second = await Client.connect(harness.port), await Client.connect(harness.port)
             first.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n")
-            await soon(backend.came.wait())
-            assert await second.ask(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n") == 409
+            await with_timeout(backend.request_received.wait())
+            assert await second.round_trip(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n") == 409
             for writer in list(backend.writers):
-                writer.write(reply())
-            assert await first.status() == 200
+                writer.write(make_response())
+            assert await first.read_status() == 200
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_beyond_the_bound_on_callers_the_silent_go_first_and_then_new_ones_are_refused(
@@ -231,37 +245,37 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            w.proxy.frontend.max_connections = 3
-            idle, busy = await Client.to(w.port), await Client.to(w.port)
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            harness.proxy.frontend.max_connections = 3
+            idle, busy = await Client.connect(harness.port), await Client.connect(harness.port)
             idle.send()
-            assert await idle.status() == 200
-            backend.then = None
-            backend.came.clear()
+            assert await idle.read_status() == 200
+            backend.default_response = None
+            backend.request_received.clear()
             busy.send()
-            await soon(backend.came.wait())
-            silent = await Client.to(w.port)
-            await until(lambda: len(w.proxy.frontend.silent) == 1)
-            third = await Client.to(w.port)
-            assert await silent.closed()
+            await with_timeout(backend.request_received.wait())
+            silent = await Client.connect(harness.port)
+            await wait_until(lambda: len(harness.proxy.frontend.silent) == 1)
+            third = await Client.connect(harness.port)
+            assert await silent.reaches_eof()
             third.writer.write(b"GET /api HT")
-            await until(lambda: len(w.proxy.frontend.partial) == 1)
-            fourth = await Client.to(w.port)
-            assert await third.closed()
+            await wait_until(lambda: len(harness.proxy.frontend.partial) == 1)
+            fourth = await Client.connect(harness.port)
+            assert await third.reaches_eof()
             for client in (idle, fourth):
-                backend.came.clear()
+                backend.request_received.clear()
                 client.send()
-                await soon(backend.came.wait())
-            fifth = await Client.to(w.port)  # all are busy now
-            assert await fifth.status() == 503
-            assert await fifth.closed()
+                await with_timeout(backend.request_received.wait())
+            fifth = await Client.connect(harness.port)  # all are busy now
+            assert await fifth.read_status() == 503
+            assert await fifth.reaches_eof()
             assert len(backend.requests) == 4
             for writer in list(backend.writers):
-                writer.write(reply())
+                writer.write(make_response())
             for client in (busy, idle, fourth):
-                assert await client.status() == 200
+                assert await client.read_status() == 200
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_a_flood_of_callers_that_are_turned_away_keeps_to_the_bound_and_all_are_answered(
@@ -272,24 +286,24 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            front = w.proxy.frontend
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            front = harness.proxy.frontend
             front.max_connections = 8
-            busy = await Client.to(w.port)
-            backend.then = None
+            busy = await Client.connect(harness.port)
+            backend.default_response = None
             busy.send()
-            await soon(backend.came.wait())
+            await with_timeout(backend.request_received.wait())
             crowd = []
             for _ in range(40):
-                crowd.append(await Client.to(w.port))  # who stay
-                assert await crowd[-1].ask(b"nonsense\r\n\r\n") == 400
+                crowd.append(await Client.connect(harness.port))  # who stay
+                assert await crowd[-1].round_trip(b"nonsense\r\n\r\n") == 400
                 assert len(front.connections) <= front.max_connections
             for writer in list(backend.writers):
-                writer.write(reply())
-            assert await busy.status() == 200
-            assert await busy.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
+                writer.write(make_response())
+            assert await busy.read_status() == 200
+            assert await busy.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_part_of_a_request_does_not_stay_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -298,66 +312,66 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            idle, slow = await Client.to(w.port), await Client.to(w.port)
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            idle, slow = await Client.connect(harness.port), await Client.connect(harness.port)
             idle.send()
-            assert await idle.status() == 200
-            assert await slow.ask(b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf") == 408
-            assert await slow.closed()
+            assert await idle.read_status() == 200
+            assert await slow.round_trip(b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf") == 408
+            assert await slow.reaches_eof()
             idle.send()  # one that is merely idle stays
-            assert await idle.status() == 200
+            assert await idle.read_status() == 200
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_draining_finishes_what_is_taken_and_closes_the_rest() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
-        async with world([backend.row("b")]) as w:
-            busy, idle = await Client.to(w.port), await Client.to(w.port)
-            assert await idle.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
+        backend.default_response = None
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            busy, idle = await Client.connect(harness.port), await Client.connect(harness.port)
+            assert await idle.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
             busy.send()
-            await soon(backend.came.wait())
-            w.proxy.drain()
-            assert await idle.closed()
-            late = await Client.to(w.port)  # the front still sends connections for a moment
-            assert await late.ask(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
-            assert await late.closed()
-            late = await Client.to(w.port)
+            await with_timeout(backend.request_received.wait())
+            harness.proxy.drain()
+            assert await idle.reaches_eof()
+            late = await Client.connect(harness.port)  # the front still sends connections for a moment
+            assert await late.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
+            assert await late.reaches_eof()
+            late = await Client.connect(harness.port)
             late.send()
-            await until(lambda: len(backend.requests) == 2)
+            await wait_until(lambda: len(backend.requests) == 2)
             for writer in list(backend.writers):
-                writer.write(reply(200, b"done"))
+                writer.write(make_response(200, b"done"))
             for client in (busy, late):
-                first, headers, body = await client.answer()
+                first, headers, body = await client.read_response()
                 assert (first.split()[1], headers[b"connection"], body) == (b"200", b"close", b"done")
-                assert await client.closed()
-            assert w.running is not None
-            await soon(asyncio.shield(w.running))  # it ends by itself once nothing is open
+                assert await client.reaches_eof()
+            assert harness.task is not None
+            await with_timeout(asyncio.shield(harness.task))  # it ends by itself once nothing is open
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_who_stands_in_line_when_the_listener_closes_is_still_served() -> None:
     """The loop is late, every time: the caller comes in the very turn in which the listener's time is up."""
     async def main() -> None:
         backend = await Backend().start()
-        async with world([backend.row("b")]) as w:
-            w.proxy.drain()
-            with socket.create_connection(("127.0.0.1", w.port)) as late:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            harness.proxy.drain()
+            with socket.create_connection(("127.0.0.1", harness.port)) as late:
                 late.sendall(
                     b"GET /api HTTP/1.1\r\nX-Correlation-Id: late\r\nX-Service-Class: read\r\n"
                     b"X-Time-Left: 4000m\r\n\r\n")
-                w.proxy._close_listener()
+                harness.proxy._close_listener()
                 late.setblocking(False)
-                answer = await soon(asyncio.get_running_loop().sock_recv(late, 4096))
+                answer = await with_timeout(asyncio.get_running_loop().sock_recv(late, 4096))
             assert answer.startswith(b"HTTP/1.1 200 ")
-            assert w.running is not None
-            await soon(asyncio.shield(w.running))
+            assert harness.task is not None
+            await with_timeout(asyncio.shield(harness.task))
             assert len(backend.requests) == 1
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_after_the_cut_off_what_comes_is_refused_and_answers_leave_whole(
@@ -368,40 +382,40 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = reply(200, b"x" * 900_000 + b"end")
-        async with world([backend.row("b")]) as w:
+        backend.default_response = make_response(200, b"x" * 900_000 + b"end")
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             loop = asyncio.get_running_loop()
-            late = await Client.to(w.port)
+            late = await Client.connect(harness.port)
             late.writer.write(b"GET /api HTTP/1.1\r\n")
-            await until(lambda: len(w.proxy.frontend.partial) == 1)
+            await wait_until(lambda: len(harness.proxy.frontend.partial) == 1)
             with socket.socket() as slow:
                 slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 slow.setblocking(False)
-                await loop.sock_connect(slow, ("127.0.0.1", w.port))
-                await until(lambda: len(w.proxy.frontend.silent) == 1)
-                (caller,) = w.proxy.frontend.silent
+                await loop.sock_connect(slow, ("127.0.0.1", harness.port))
+                await wait_until(lambda: len(harness.proxy.frontend.silent) == 1)
+                (caller,) = harness.proxy.frontend.silent
                 caller.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(
                     slow, b"GET /api HTTP/1.1\r\nX-Correlation-Id: slow\r\nX-Service-Class: read\r\n"
                     b"X-Time-Left: 4000m\r\n\r\n")
-                await until(w.proxy.frontend.has_unwritten_data)
-                w.proxy.drain()
-                w.proxy._cut_off()
+                await wait_until(harness.proxy.frontend.has_unwritten_data)
+                harness.proxy.drain()
+                harness.proxy._cut_off()
                 late.writer.write(
                     b"X-Correlation-Id: late\r\nX-Service-Class: read\r\nX-Time-Left: 4000m\r\n\r\n")
-                assert await late.status() == 503
-                w.proxy._leave(w.proxy.clock.now() + 1e6)
-                assert not w.proxy.stopped.is_set()
+                assert await late.read_status() == 503
+                harness.proxy._leave(harness.proxy.clock.now() + 1e6)
+                assert not harness.proxy.stopped.is_set()
                 slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
                 whole = b""
                 while not whole.endswith(b"end"):
-                    whole += await soon(loop.sock_recv(slow, 1 << 20))
+                    whole += await with_timeout(loop.sock_recv(slow, 1 << 20))
             assert whole.endswith(b"\r\n\r\n" + b"x" * 900_000 + b"end")
-            await until(w.proxy.stopped.is_set)
+            await wait_until(harness.proxy.stopped.is_set)
             assert len(backend.requests) == 1
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_the_end_comes_even_when_a_backend_never_answers(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -409,14 +423,14 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        backend.then = None
-        async with world([backend.row("b")]) as w:
-            client = await Client.to(w.port)
+        backend.default_response = None
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+            client = await Client.connect(harness.port)
             client.send("pay")
-            await soon(backend.came.wait())
-            w.proxy.drain()
-            assert await client.status() == 502
-            assert w.running is not None
-            await soon(asyncio.shield(w.running))
+            await with_timeout(backend.request_received.wait())
+            harness.proxy.drain()
+            assert await client.read_status() == 502
+            assert harness.task is not None
+            await with_timeout(asyncio.shield(harness.task))
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -15,7 +15,7 @@
 from honeywharf.net.clock import Clock
 from honeywharf.net.driver import ANSWER_MARGIN_MS, Driver
 
-O = api.Outcome  # noqa: E741
+Outcome = api.Outcome
 SETTINGS = api.Settings(
     zone="z", classes=(api.RequestClass("order", 2000, 5000, effect=api.Effect.KEYED, window_ms=7500),),
     limits=api.Limits(max_attempts=3, max_open=2), report_fields=("queue", "in_flight"),
@@ -185,11 +185,11 @@
     bench.clock.ms += 15.0
     bench.transport.started[0].written_ms = bench.clock.ms
     bench.clock.ms += 25.0
-    bench.transport.started[0].ended(O.OK, ok())
+    bench.transport.started[0].ended(Outcome.OK, ok())
     assert caller.answers == [(200, b"tile", 0.0)]
     bench.loop.turn()
     (event,) = bench.events(api.AttemptEnded)
-    assert event == api.AttemptEnded("r1", 0, O.OK, 40.0, True, None, "b1", waited_ms=15.0)
+    assert event == api.AttemptEnded("r1", 0, Outcome.OK, 40.0, True, None, "b1", waited_ms=15.0)
     assert bench.driver.requests == {}
     assert bench.driver.open_requests == 0
 
@@ -204,7 +204,7 @@
         return []
     bench.script.on = on
     _, caller = bench.arrive()
-    assert bench.outcomes() == [(0, O.NOT_SENT, False), (1, O.NOT_SENT, False)]
+    assert bench.outcomes() == [(0, Outcome.NOT_SENT, False), (1, Outcome.NOT_SENT, False)]
     assert caller.answers == [(503, b"", 0.0)]
 
 
@@ -216,13 +216,13 @@
         bench.driver._timer_fired(0.0, "t")
         bench.loop.turn()
     assert len(bench.transport.started) == 3
-    assert bench.outcomes() == [(3, O.NOT_SENT, False)]
+    assert bench.outcomes() == [(3, Outcome.NOT_SENT, False)]
     bench.driver.client_disconnected(request)
     bench.loop.turn()
     bench.driver._timer_fired(0.0, "t")  # the request is over
     bench.loop.turn()
     assert len(bench.transport.started) == 3
-    assert bench.outcomes()[-1] == (4, O.NOT_SENT, True)
+    assert bench.outcomes()[-1] == (4, Outcome.NOT_SENT, True)
 
 
 def test_a_send_for_a_request_that_is_not_in_the_table_is_told_and_not_sent(bench: Bench) -> None:
@@ -230,7 +230,7 @@
     bench.driver._timer_fired(0.0, "t")
     bench.loop.turn()
     assert bench.transport.started == []
-    assert bench.outcomes() == [(0, O.NOT_SENT, True)]
+    assert bench.outcomes() == [(0, Outcome.NOT_SENT, True)]
 
 
 def test_a_silent_backend_times_out_and_the_answer_is_out_before_the_client_gives_up(bench: Bench) -> None:
@@ -245,14 +245,14 @@
     assert caller.answers == [(502, b"", 0.0)]
     assert bench.script.seen[-1][0] < start + 1000.0
     assert bench.transport.aborted == bench.transport.started
-    assert bench.outcomes() == [(0, O.TIMEOUT, False)]
+    assert bench.outcomes() == [(0, Outcome.TIMEOUT, False)]
     assert bench.driver.requests == {}
 
 
 def test_no_attempt_starts_once_the_requests_timer_has_come(bench: Bench) -> None:
     """Guards against an attempt that nothing ends: it would run for nobody and never leave the table."""
     def on(event: api.Event) -> list[api.Action]:
-        if isinstance(event, api.AttemptEnded) and event.outcome is O.TIMEOUT:
+        if isinstance(event, api.AttemptEnded) and event.outcome is Outcome.TIMEOUT:
             return [api.Send(event.request, "b2", 0.0)]
         return send_each(event)
     bench.script.on = on
@@ -292,7 +292,7 @@
     _, caller = bench.arrive(1000.0)
     assert bench.transport.started[0].until_ms == bench.clock.ms + 80.0
     bench.loop.advance(90.0)
-    assert bench.outcomes() == [(0, O.TIMEOUT, False)]
+    assert bench.outcomes() == [(0, Outcome.TIMEOUT, False)]
     assert caller.answers == []
 
 
@@ -302,10 +302,10 @@
     bench.driver.client_disconnected(request)
     bench.loop.turn()
     assert bench.transport.aborted == []
-    bench.transport.started[0].ended(O.OK, ok())
+    bench.transport.started[0].ended(Outcome.OK, ok())
     bench.loop.turn()
     assert caller.answers == []
-    assert bench.outcomes() == [(0, O.OK, True)]
+    assert bench.outcomes() == [(0, Outcome.OK, True)]
     assert bench.driver.requests == {}
 
 
@@ -314,7 +314,7 @@
     request, _ = bench.arrive(1000.0)
     bench.driver.client_disconnected(request)
     bench.loop.advance(1000.0)
-    assert bench.outcomes() == [(0, O.TIMEOUT, True)]
+    assert bench.outcomes() == [(0, Outcome.TIMEOUT, True)]
     assert bench.driver.requests == {}
 
 
@@ -324,12 +324,12 @@
             event, api.RequestArrived) else []
     bench.script.on = on
     _, caller = bench.arrive()
-    bench.transport.started[1].ended(O.OK, ok(b"second"))
+    bench.transport.started[1].ended(Outcome.OK, ok(b"second"))
     bench.loop.turn()
-    bench.transport.started[0].ended(O.OK, ok(b"first"))
+    bench.transport.started[0].ended(Outcome.OK, ok(b"first"))
     bench.loop.turn()
     assert caller.answers == [(200, b"second", 0.0)]
-    assert bench.outcomes() == [(1, O.OK, True), (0, O.OK, True)]
+    assert bench.outcomes() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
 
 
 @pytest.mark.parametrize("how", ["gone", "answered", "cut off"])
@@ -344,14 +344,14 @@
     if how == "gone":
         bench.driver.client_disconnected(request)
     elif how == "answered":
-        sent.ended(O.OK, ok())
+        sent.ended(Outcome.OK, ok())
     else:
         bench.driver.fail_open_requests()
     bench.loop.turn()
     assert bench.transport.aborted == [opening]
-    sent.ended(O.OK, ok())
+    sent.ended(Outcome.OK, ok())
     bench.loop.turn()
-    assert set(bench.outcomes()) == {(0, O.OK, True), (1, O.NOT_SENT, True)}
+    assert set(bench.outcomes()) == {(0, Outcome.OK, True), (1, Outcome.NOT_SENT, True)}
     assert len(caller.answers) == (how != "gone")
     assert bench.driver.requests == {}
 
@@ -363,7 +363,7 @@
     bench.driver._timer_fired(0.0, "t")
     bench.loop.turn()
     assert bench.transport.aborted == bench.transport.started
-    assert bench.outcomes() == [(0, O.CANCELLED, False)]
+    assert bench.outcomes() == [(0, Outcome.CANCELLED, False)]
 
 
 def test_a_refusal_says_when_to_come_back_and_a_failure_is_never_worded_as_one(bench: Bench) -> None:
@@ -386,7 +386,7 @@
     _, first = bench.arrive()
     _, second = bench.arrive()
     assert first.answers == [(502, b"", 0.0)]
-    bench.transport.started[0].ended(O.OK, ok())
+    bench.transport.started[0].ended(Outcome.OK, ok())
     assert second.answers == [(200, b"tile", 0.0)]
     assert "broken" in capsys.readouterr().err
 
@@ -398,7 +398,7 @@
         return send_each(event)
     bench.script.on = on
     _, caller = bench.arrive()
-    bench.transport.started[0].ended(O.RESET, None)
+    bench.transport.started[0].ended(Outcome.RESET, None)
     bench.loop.turn()
     assert caller.answers == [(502, b"", 0.0)]
     assert bench.driver.requests == {}
@@ -411,7 +411,7 @@
         return send_each(event)
     bench.script.on = on
     _, caller = bench.arrive()
-    bench.transport.started[0].ended(O.OK, ok())  # answered before the module is told
+    bench.transport.started[0].ended(Outcome.OK, ok())  # answered before the module is told
     bench.loop.turn()
     assert caller.answers == [(200, b"tile", 0.0)]
     assert bench.events(api.RequestExpired) == [api.RequestExpired("r1")]
@@ -425,7 +425,7 @@
     try:
         request, _ = bench.arrive()
         held = weakref.ref(bench.driver.requests[request.id].attempts[0])
-        bench.transport.started.pop().ended(O.OK, ok())
+        bench.transport.started.pop().ended(Outcome.OK, ok())
         bench.loop.turn()
         bench.loop.timers.clear()
         assert bench.driver.requests == {}
@@ -468,11 +468,11 @@
     bench.driver._timer_fired(0.0, "t")
     bench.loop.turn()
     response = ok(b"pending=1,busy_reqs=2")
-    bench.transport.started[0].ended(O.OK, response)
+    bench.transport.started[0].ended(Outcome.OK, response)
     bench.loop.advance(1000.0)
     found = [(e.endpoint, e.outcome, e.report) for _, e in bench.script.seen if isinstance(e, api.ProbeEnded)]
     assert sorted(found, key=lambda x: x[0]) == [
-        ("b1", O.OK, (1.0, 2.0)), ("b2", O.TIMEOUT, None), ("b9", O.NOT_SENT, None)]
+        ("b1", Outcome.OK, (1.0, 2.0)), ("b2", Outcome.TIMEOUT, None), ("b9", Outcome.NOT_SENT, None)]
 
 
 def test_an_id_in_the_table_is_not_taken_twice(bench: Bench) -> None:
@@ -506,7 +506,12 @@
         request, caller = bench.arrive(choice.uniform(0.0, 300.0))
         callers.append((request.id, caller))
         for call in choice.sample(bench.transport.started[-5:], k=min(2, len(bench.transport.started))):
-            call.ended(choice.choice([O.OK, O.RESET, O.ERROR, O.REJECTED, O.CONNECT_FAILED]), ok())
+            call.ended(
+                choice.choice(
+                    [Outcome.OK, Outcome.RESET, Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED]
+                ),
+                ok(),
+            )
         if choice.random() < 0.1:
             if not caller.answers:
                 left.add(request.id)
--- a/tests/test_hang.py
+++ b/tests/test_hang.py
@@ -3,30 +3,30 @@
 from __future__ import annotations
 
 from honeywharf import interface as api
-from tests.loopback import Backend, Client, run, until, world
+from tests.proxy_harness import Backend, Client, run_with_timeout, synced_proxy, wait_until
 
-O = api.Outcome  # noqa: E741
+Outcome = api.Outcome
 
 
 def test_a_call_that_hangs_is_sent_again_and_holds_no_place() -> None:
     """Guards against gates held shut, and requests lost, by calls that no answer will ever come to."""
     async def main() -> None:
         backend = await Backend().start()
-        backend.pause_s = 0.02
-        async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
-            balancer = w.proxy.driver.balancer
-            client, other = await Client.to(w.port), await Client.to(w.port)
+        backend.response_delay_s = 0.02
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 3}) as harness:
+            balancer = harness.proxy.driver.balancer
+            client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for _ in range(30):
                 client.send("order", b"x")
-                assert await client.status() == 200
-            backend.script = [None]
-            backend.came.clear()
+                assert await client.read_status() == 200
+            backend.scripted_responses = [None]
+            backend.request_received.clear()
             name = other.send("order", b"hangs")
-            await until(lambda: backend.came.is_set())
+            await wait_until(lambda: backend.request_received.is_set())
             while not any(a.hangs for r in balancer.requests.values() for a in r.attempts):
                 client.send("order", b"x")
-                assert await client.status() == 200
-            assert await other.status() == 200  # long before its time is up
+                assert await client.read_status() == 200
+            assert await other.read_status() == 200  # long before its time is up
             sent = [m for m in backend.requests if m[2] == b"hangs"]
             assert len(sent) == 2
             assert len({m[1][b"idempotency-key"] for m in sent}) == 1
@@ -34,28 +34,30 @@
             assert balancer.host_set.zones["z"].in_flight == 0
             assert balancer.host_set.servers["b"].ejections == 0
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_an_unsafe_call_that_hangs_is_not_sent_again() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        backend.pause_s = 0.02
-        async with world([backend.row("b")], bounds={"mostTries": 3}) as w:
-            balancer = w.proxy.driver.balancer
-            client, other = await Client.to(w.port), await Client.to(w.port)
+        backend.response_delay_s = 0.02
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 3}) as harness:
+            balancer = harness.proxy.driver.balancer
+            client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for _ in range(30):
                 client.send("pay", b"x")
-                assert await client.status() == 200
-            backend.script = [None]
-            backend.came.clear()
+                assert await client.read_status() == 200
+            backend.scripted_responses = [None]
+            backend.request_received.clear()
             other.send("pay", b"hangs", "1500m")
-            await until(lambda: backend.came.is_set())
+            await wait_until(lambda: backend.request_received.is_set())
             while not any(a.hangs for r in balancer.requests.values() for a in r.attempts):
                 client.send("pay", b"x")
-                assert await client.status() == 200
-            assert await other.status() == 502
+                assert await client.read_status() == 200
+            assert await other.read_status() == 502
             assert len([m for m in backend.requests if m[2] == b"hangs"]) == 1
-            assert [e.outcome for e in w.ended() if e.outcome is not O.OK] == [O.TIMEOUT]
+            assert [e.outcome for e in harness.ended_attempts() if e.outcome is not Outcome.OK] == [
+                Outcome.TIMEOUT
+            ]
         await backend.stop()
-    run(main())
+    run_with_timeout(main())
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -15,7 +15,7 @@
 
 from honeywharf import interface as api
 from honeywharf.brain import Balancer
-from tests.helpers import make_settings
+from tests.balancer_harness import make_settings
 
 ROOT = Path(__file__).parent.parent
 Script = list[tuple[float, api.Event]]
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -12,8 +12,23 @@
 
 from honeywharf import interface as api
 from honeywharf.policy.list_freshness import LONGEST_WAIT_MS, MAX_AGE_MS, SHORTEST_WAIT_MS, ListFreshness
-from tests.helpers import TWO_ZONES, Driver, only_refusal, only_send
-from tests.loopback import Backend, Client, World, reply, row, run, started_world, until, world
+from tests.balancer_harness import (
+    TWO_ZONE_ENDPOINTS,
+    BalancerHarness,
+    expect_single_refusal,
+    expect_single_send,
+)
+from tests.proxy_harness import (
+    Backend,
+    Client,
+    ProxyHarness,
+    discovery_entry,
+    make_response,
+    run_with_timeout,
+    started_proxy,
+    synced_proxy,
+    wait_until,
+)
 
 WAY_MS = 400.0  # of an answer from discovery to the proxy: longer than a watch lasts without a poll
 
@@ -59,53 +74,57 @@
 
 def test_a_list_is_used_up_to_its_time_however_late_a_timer_comes() -> None:
     """Guards against what a process does first when it runs again after it was held up."""
-    driver = Driver()
-    driver.feed(api.EndpointsListed(
-        api.ListKind.FULL, tuple(TWO_ZONES), usable_until_ms=driver.now + 100.0))
-    assert only_send(driver.request()).leave_within_ms == 100.0  # nor does it wait longer for a connection
-    driver.now += 100.0
-    only_refusal(driver.request())
-    driver.list([], api.ListKind.FAILED)
-    only_refusal(driver.request())
-    driver.feed(api.ListUsableUntil(driver.now + 50.0))
-    only_send(driver.request())
+    harness = BalancerHarness()
+    harness.feed(api.EndpointsListed(
+        api.ListKind.FULL, tuple(TWO_ZONE_ENDPOINTS), usable_until_ms=harness.now_ms + 100.0))
+    # nor does it wait longer for a connection
+    assert expect_single_send(harness.start_request()).leave_within_ms == 100.0
+    harness.now_ms += 100.0
+    expect_single_refusal(harness.start_request())
+    harness.update_endpoints([], api.ListKind.FAILED)
+    expect_single_refusal(harness.start_request())
+    harness.feed(api.ListUsableUntil(harness.now_ms + 50.0))
+    expect_single_send(harness.start_request())
 
 
-def left_s(w: World) -> float:
-    return (w.proxy.watch.freshness.expires_ms - w.proxy.clock.now()) / 1000.0
+def left_s(harness: ProxyHarness) -> float:
+    return (harness.proxy.watch.freshness.expires_ms - harness.proxy.clock.now()) / 1000.0
 
 
 @asynccontextmanager
-async def answered_late(mode: str) -> AsyncIterator[World]:
+async def answered_late(mode: str) -> AsyncIterator[ProxyHarness]:
     """A proxy whose first answer, with a change, took `WAY_MS`, and whose next poll is out."""
-    async with started_world([row("b", 1)], discovery=mode, contract={"askEveryMs": 1e6}) as w:
-        w.proxy.watch.watch()
-        await until(lambda: len(w.discovery.calls) == 1)
-        assert w.proxy.watch.poll is not None
-        w.proxy.watch.poll.sent_ms -= WAY_MS
-        w.discovery.tell(2, row("c", 2))
-        await until(lambda: len(w.discovery.calls) == 2)
-        yield w
+    async with started_proxy(
+        [discovery_entry("b", 1)], discovery=mode, contract={"askEveryMs": 1e6}
+    ) as harness:
+        harness.proxy.watch.watch()
+        await wait_until(lambda: len(harness.discovery.request_lines) == 1)
+        assert harness.proxy.watch.poll is not None
+        harness.proxy.watch.poll.sent_ms -= WAY_MS
+        harness.discovery.publish(2, discovery_entry("c", 2))
+        await wait_until(lambda: len(harness.discovery.request_lines) == 2)
+        yield harness
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_what_came_late_is_not_fresh_from_when_it_came(mode: str) -> None:
     async def main() -> None:
-        async with answered_late(mode) as w:
-            assert left_s(w) <= (MAX_AGE_MS - WAY_MS) / 1000.0
-    run(main())
+        async with answered_late(mode) as harness:
+            assert left_s(harness) <= (MAX_AGE_MS - WAY_MS) / 1000.0
+    run_with_timeout(main())
 
 
 def test_a_poll_refused_in_the_queue_is_not_taken_for_a_watch_that_stood_until_then() -> None:
     """The answer was under way for longer than a watch lasts, so the next poll may have begun another one."""
     async def main() -> None:
-        async with answered_late("ask") as w:
-            assert b"&wait_ms=0 " not in w.discovery.calls[1]  # as far as the proxy knows the watch goes on
-            expires_ms = w.proxy.watch.freshness.expires_ms
-            w.discovery.answers.put_nowait(reply(503))
-            await until(lambda: w.proxy.watch.poll is None)
-            assert w.proxy.watch.freshness.expires_ms == expires_ms
-    run(main())
+        async with answered_late("ask") as harness:
+            # as far as the proxy knows the watch goes on
+            assert b"&wait_ms=0 " not in harness.discovery.request_lines[1]
+            expires_ms = harness.proxy.watch.freshness.expires_ms
+            harness.discovery.responses.put_nowait(make_response(503))
+            await wait_until(lambda: harness.proxy.watch.poll is None)
+            assert harness.proxy.watch.freshness.expires_ms == expires_ms
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize("ends", ["whole", "cut"])
@@ -113,51 +132,57 @@
     """It counts as told once it is written, and what has come of it may not say yet what it tells."""
     async def main() -> None:
         leaves, stays = await Backend().start(), await Backend().start()
-        async with world([leaves.row("leaves"), stays.row("stays")]) as w:
-            await until(lambda: len(w.discovery.calls) == 2)
-            gone = {"generation": 2, "reset": False, "instances": [leaves.row("leaves", lifecycle="removed")]}
-            whole = reply(200, json.dumps(gone).encode())
-            w.discovery.answers.put_nowait(whole[:-20])
-            await until(lambda: w.proxy.watch.expiry.overdue)
-            client = await Client.to(w.port)
+        async with synced_proxy(
+            [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
+        ) as harness:
+            await wait_until(lambda: len(harness.discovery.request_lines) == 2)
+            gone = {
+                "generation": 2,
+                "reset": False,
+                "instances": [leaves.discovery_entry("leaves", lifecycle="removed")],
+            }
+            whole = make_response(200, json.dumps(gone).encode())
+            harness.discovery.responses.put_nowait(whole[:-20])
+            await wait_until(lambda: harness.proxy.watch.expiry.overdue)
+            client = await Client.connect(harness.port)
             for _ in range(12):
                 client.send()
-                assert await client.status() == 503
+                assert await client.read_status() == 503
             assert leaves.requests == stays.requests == []
-            (writer,) = w.discovery.connections
+            (writer,) = harness.discovery.connections
             if ends == "whole":
                 writer.write(whole[-20:])
             else:
                 writer.transport.abort()
-                await until(lambda: len(w.discovery.calls) == 3)
-                assert w.proxy.watch.expiry.overdue
-                w.discovery.answers.put_nowait(whole)
-            await until(lambda: not w.proxy.watch.expiry.overdue)
+                await wait_until(lambda: len(harness.discovery.request_lines) == 3)
+                assert harness.proxy.watch.expiry.overdue
+                harness.discovery.responses.put_nowait(whole)
+            await wait_until(lambda: not harness.proxy.watch.expiry.overdue)
             for _ in range(12):
                 client.send()
-                assert await client.status() == 200
+                assert await client.read_status() == 200
             assert (len(leaves.requests), len(stays.requests)) == (0, 12)
         for backend in (leaves, stays):
             await backend.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_an_agent_in_the_middle_of_its_answer_is_not_down() -> None:
     """Guards against a list of thousands that takes longer than an agent needs to respond at all."""
     async def main() -> None:
-        async with world([row("b", 1)], contract={"stopSendingWithinMs": 1e6}) as w:
-            watch = w.proxy.watch
-            await until(lambda: len(w.discovery.calls) == 2)
+        async with synced_proxy([discovery_entry("b", 1)], contract={"stopSendingWithinMs": 1e6}) as harness:
+            watch = harness.proxy.watch
+            await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             watch._poll_timed_out()
-            await until(lambda: len(w.discovery.calls) == 3)
-            w.discovery.answers.put_nowait(b"")  # goes to the call that fell silent
-            w.discovery.answers.put_nowait(b"HTTP/1.1 200 OK\r\n")
-            await until(lambda: watch.poll is not None and watch.poll.answer_began_ms is not None)
+            await wait_until(lambda: len(harness.discovery.request_lines) == 3)
+            harness.discovery.responses.put_nowait(b"")  # goes to the call that fell silent
+            harness.discovery.responses.put_nowait(b"HTTP/1.1 200 OK\r\n")
+            await wait_until(lambda: watch.poll is not None and watch.poll.answer_began_ms is not None)
             assert watch.poll is not None
             watch.poll.sent_ms -= 1000.0
             watch._expiry_reached()
             assert watch.expiry.overdue
-    run(main())
+    run_with_timeout(main())
 
 
 @pytest.mark.parametrize(
@@ -165,13 +190,13 @@
 def test_only_a_refused_connection_shows_that_discovery_is_down(fault: int) -> None:
     """Then nothing counts from before now; other faults may be the network's or this proxy's own."""
     async def main() -> None:
-        async with world([row("b", 1)], discovery="ask") as w:
-            watch = w.proxy.watch
-            await until(lambda: len(w.discovery.calls) == 2)
-            w.discovery.answers.put_nowait(reply(503))  # the watch stood until then
-            await until(lambda: watch.poll is None)
+        async with synced_proxy([discovery_entry("b", 1)], discovery="ask") as harness:
+            watch = harness.proxy.watch
+            await wait_until(lambda: len(harness.discovery.request_lines) == 2)
+            harness.discovery.responses.put_nowait(make_response(503))  # the watch stood until then
+            await wait_until(lambda: watch.poll is None)
             expires_ms = watch.freshness.expires_ms
             await asyncio.sleep(0.002)
             watch._connect_failed(OSError(fault, "x"))
             assert (watch.freshness.expires_ms > expires_ms) == (fault == errno.ECONNREFUSED)
-    run(main())
+    run_with_timeout(main())
--- a/tests/test_order.py
+++ b/tests/test_order.py
@@ -5,9 +5,15 @@
 import pytest
 
 from honeywharf import interface as api
-from tests.helpers import Actions, Driver, endpoint, make_settings, only_refusal
-
-O = api.Outcome  # noqa: E741
+from tests.balancer_harness import (
+    Actions,
+    BalancerHarness,
+    expect_single_refusal,
+    make_endpoint,
+    make_settings,
+)
+
+Outcome = api.Outcome
 BORROW = api.RequestClass("borrow", 1000, 2000, effect=api.Effect.ONCE, in_order=True)
 RENEW = api.RequestClass(
     "renew", 1000, 2000, effect=api.Effect.KEYED, window_ms=1500, in_order=True)
@@ -16,106 +22,106 @@
 
 
 @pytest.fixture
-def driver() -> Driver:
+def harness() -> BalancerHarness:
     settings = make_settings(
         classes=(BORROW, RENEW, READ), rules=api.Rules(ask_every_ms=10000, turn_gap_ms=GAP))
-    made = Driver(settings)
-    made.list([endpoint(f"a{i}") for i in range(6)])
+    made = BalancerHarness(settings)
+    made.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
     return made
 
 
-def woken(driver: Driver, token: str, after_ms: float) -> Actions:
-    driver.now += after_ms
-    return driver.feed(api.TimerFired(token))
+def woken(harness: BalancerHarness, token: str, after_ms: float) -> Actions:
+    harness.now_ms += after_ms
+    return harness.feed(api.TimerFired(token))
 
 
 def sends(actions: Actions) -> list[str]:
     return [a.request for a in actions if isinstance(a, api.Send)]
 
 
-def test_one_key_runs_singly_in_the_order_taken_over_all_ordered_classes(driver: Driver) -> None:
-    assert sends(driver.request("borrow", key="k")) == ["r1"]
-    assert sends(driver.request("renew", key="k")) == []
-    assert sends(driver.request("borrow", key="k")) == []
-    assert sends(driver.end(O.OK, request="r1")) == ["r2"]
-    assert sends(driver.end(O.OK, request="r2")) == ["r3"]
+def test_one_key_runs_singly_in_the_order_taken_over_all_ordered_classes(harness: BalancerHarness) -> None:
+    assert sends(harness.start_request("borrow", key="k")) == ["r1"]
+    assert sends(harness.start_request("renew", key="k")) == []
+    assert sends(harness.start_request("borrow", key="k")) == []
+    assert sends(harness.end_attempt(Outcome.OK, request="r1")) == ["r2"]
+    assert sends(harness.end_attempt(Outcome.OK, request="r2")) == ["r3"]
 
 
-def test_other_keys_and_no_key_and_other_classes_are_free(driver: Driver) -> None:
-    driver.request("borrow", key="k")
-    assert sends(driver.request("borrow", key="j")) == ["r2"]
-    assert sends(driver.request("borrow")) == ["r3"]
-    assert sends(driver.request("borrow")) == ["r4"]
-    assert sends(driver.request("read", key="k")) == ["r5"]
+def test_other_keys_and_no_key_and_other_classes_are_free(harness: BalancerHarness) -> None:
+    harness.start_request("borrow", key="k")
+    assert sends(harness.start_request("borrow", key="j")) == ["r2"]
+    assert sends(harness.start_request("borrow")) == ["r3"]
+    assert sends(harness.start_request("borrow")) == ["r4"]
+    assert sends(harness.start_request("read", key="k")) == ["r5"]
 
 
-@pytest.mark.parametrize("outcome", [O.TIMEOUT, O.RESET])
-def test_the_key_rests_after_what_may_still_run(driver: Driver, outcome: api.Outcome) -> None:
-    driver.request("borrow", key="k")
-    driver.request("borrow", key="k")
-    actions = driver.end(outcome, request="r1")
+@pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
+def test_the_key_rests_after_what_may_still_run(harness: BalancerHarness, outcome: api.Outcome) -> None:
+    harness.start_request("borrow", key="k")
+    harness.start_request("borrow", key="k")
+    actions = harness.end_attempt(outcome, request="r1")
     assert api.Fail("r1") in actions
     assert sends(actions) == []
     (timer,) = [a for a in actions if isinstance(a, api.SetTimer)]
-    assert timer.at_ms == driver.now + GAP
-    assert sends(woken(driver, timer.token, GAP)) == ["r2"]
+    assert timer.at_ms == harness.now_ms + GAP
+    assert sends(woken(harness, timer.token, GAP)) == ["r2"]
 
 
-def test_the_one_with_the_turn_is_tried_again_without_a_wait(driver: Driver) -> None:
-    driver.request("renew", key="k")
-    driver.request("renew", key="k")
-    assert sends(driver.end(O.TIMEOUT, request="r1", after_ms=100)) == ["r1"]
+def test_the_one_with_the_turn_is_tried_again_without_a_wait(harness: BalancerHarness) -> None:
+    harness.start_request("renew", key="k")
+    harness.start_request("renew", key="k")
+    assert sends(harness.end_attempt(Outcome.TIMEOUT, request="r1", after_ms=100)) == ["r1"]
 
 
-def test_one_that_never_ran_hands_the_turn_on_at_once(driver: Driver) -> None:
-    driver.list([endpoint("a0")])
-    driver.request("borrow", key="k")
-    driver.request("borrow", key="k")
+def test_one_that_never_ran_hands_the_turn_on_at_once(harness: BalancerHarness) -> None:
+    harness.update_endpoints([make_endpoint("a0")])
+    harness.start_request("borrow", key="k")
+    harness.start_request("borrow", key="k")
     actions: Actions = []
     for attempt in range(3):
-        actions = driver.end(O.CONNECT_FAILED, attempt, request="r1")
+        actions = harness.end_attempt(Outcome.CONNECT_FAILED, attempt, request="r1")
     assert any(isinstance(a, api.Refuse) and a.request == "r1" for a in actions)
     assert sends(actions) == ["r2"]
 
 
-def test_a_held_request_is_refused_when_its_time_is_up(driver: Driver) -> None:
-    driver.request("borrow", key="k", remaining_ms=2000)
-    actions = driver.request("borrow", key="k", remaining_ms=300)
+def test_a_held_request_is_refused_when_its_time_is_up(harness: BalancerHarness) -> None:
+    harness.start_request("borrow", key="k", remaining_ms=2000)
+    actions = harness.start_request("borrow", key="k", remaining_ms=300)
     (timer,) = actions
     assert isinstance(timer, api.SetTimer)
-    assert timer.at_ms <= driver.now + 300
-    assert only_refusal(woken(driver, timer.token, 300)).request == "r2"
-    assert sends(driver.end(O.OK, request="r1")) == []
-    assert not driver.balancer.lines
+    assert timer.at_ms <= harness.now_ms + 300
+    assert expect_single_refusal(woken(harness, timer.token, 300)).request == "r2"
+    assert sends(harness.end_attempt(Outcome.OK, request="r1")) == []
+    assert not harness.balancer.lines
 
 
-def test_a_held_request_whose_client_left_loses_its_place(driver: Driver) -> None:
+def test_a_held_request_whose_client_left_loses_its_place(harness: BalancerHarness) -> None:
     for _ in range(3):
-        driver.request("borrow", key="k")
-    driver.feed(api.RequestExpired("r2"))
-    assert sends(driver.end(O.OK, request="r1")) == ["r3"]
+        harness.start_request("borrow", key="k")
+    harness.feed(api.RequestExpired("r2"))
+    assert sends(harness.end_attempt(Outcome.OK, request="r1")) == ["r3"]
 
 
-def test_an_attempt_that_is_out_keeps_the_turn_after_its_client_left(driver: Driver) -> None:
-    driver.request("borrow", key="k")
-    driver.request("borrow", key="k")
-    assert sends(driver.feed(api.RequestExpired("r1"))) == []
-    assert sends(driver.end(O.OK, request="r1", request_over=True)) == ["r2"]
+def test_an_attempt_that_is_out_keeps_the_turn_after_its_client_left(harness: BalancerHarness) -> None:
+    harness.start_request("borrow", key="k")
+    harness.start_request("borrow", key="k")
+    assert sends(harness.feed(api.RequestExpired("r1"))) == []
+    assert sends(harness.end_attempt(Outcome.OK, request="r1", request_over=True)) == ["r2"]
 
 
-def test_an_idle_key_leaves_nothing_behind(driver: Driver) -> None:
+def test_an_idle_key_leaves_nothing_behind(harness: BalancerHarness) -> None:
     for i in range(50):
-        driver.request("borrow", key=f"k{i}")
-        driver.end(O.TIMEOUT if i % 2 else O.OK)
-    woken(driver, "turn", GAP)
-    assert not driver.balancer.lines
-    assert not driver.balancer.rests
+        harness.start_request("borrow", key=f"k{i}")
+        harness.end_attempt(Outcome.TIMEOUT if i % 2 else Outcome.OK)
+    woken(harness, "turn", GAP)
+    assert not harness.balancer.lines
+    assert not harness.balancer.rests
 
 
-def test_a_long_line_that_nothing_can_serve_is_answered(driver: Driver) -> None:
+def test_a_long_line_that_nothing_can_serve_is_answered(harness: BalancerHarness) -> None:
     """Guards against one call deeper for each in line."""
     for _ in range(3000):
-        driver.request("borrow", key="k")
-    driver.list([])
-    actions = driver.end(O.OK, request="r1")
+        harness.start_request("borrow", key="k")
+    harness.update_endpoints([])
+    actions = harness.end_attempt(Outcome.OK, request="r1")
     assert sum(isinstance(a, api.Refuse) for a in actions) == 2999
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -14,12 +14,12 @@
 import pytest
 
 from honeywharf.net import config
-from tests.loopback import SETTINGS, WAIT_S
-from tests.process import ROOT, Process, write
+from tests.proxy_harness import SETTINGS, WAIT_TIMEOUT_S
+from tests.proxy_process import REPOSITORY_ROOT, ProxyProcess, write_config
 
 
 def test_the_configuration_is_typed(tmp_path: Path) -> None:
-    made = config.load(write(tmp_path, listen="127.0.0.2:3000"))
+    made = config.load(write_config(tmp_path, listen="127.0.0.2:3000"))
     assert (made.listen, made.discovery, made.sockets) == (("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
     assert made.seed == 0x8C1F30D27A5BE964
     assert made.settings.report_fields == ("queue", "in_flight")
@@ -34,8 +34,14 @@
 ])
 def test_a_bad_configuration_is_one_plain_line_and_status_2(tmp_path: Path, changes: dict[str, Any]) -> None:
     result = subprocess.run(
-        [sys.executable, "-m", "honeywharf"], env=write(tmp_path, **changes), cwd=ROOT, capture_output=True,
-        text=True, timeout=WAIT_S, check=False)
+        [sys.executable, "-m", "honeywharf"],
+        env=write_config(tmp_path, **changes),
+        cwd=REPOSITORY_ROOT,
+        capture_output=True,
+        text=True,
+        timeout=WAIT_TIMEOUT_S,
+        check=False,
+    )
     assert result.returncode == 2
     (line,) = result.stderr.splitlines()
     assert line.startswith("honeywharf: ")
@@ -52,15 +58,15 @@
 
 
 def test_after_sigterm_it_ends_with_0(tmp_path: Path) -> None:
-    with Process(tmp_path) as proxy:
+    with ProxyProcess(tmp_path) as proxy:
         assert proxy.get("/nowhere").startswith(b"HTTP/1.1 404 ")
         proxy.process.send_signal(signal.SIGTERM)
-        assert proxy.process.wait(WAIT_S) == 0
+        assert proxy.process.wait(WAIT_TIMEOUT_S) == 0
 
 
 def test_running_out_of_descriptors_ends_nothing(tmp_path: Path) -> None:
     """More callers than descriptors: the listener, and the callers that are served, go on."""
-    with Process(tmp_path, descriptors=64) as proxy:
+    with ProxyProcess(tmp_path, descriptors=64) as proxy:
         first = proxy.connect()  # in the middle of a request: it is not closed to make room
         first.sendall(b"POST /nowhere HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
         assert first.recv(4096).startswith(b"HTTP/1.1 100 ")
@@ -74,7 +80,7 @@
         assert first.recv(4096).startswith(b"HTTP/1.1 404 ")
         for made in crowd:
             made.close()
-        end = time.monotonic() + WAIT_S
+        end = time.monotonic() + WAIT_TIMEOUT_S
         answer = b""
         while not answer:  # the listener takes callers again once descriptors are free
             assert time.monotonic() < end
@@ -92,14 +98,14 @@
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.listener.settimeout(WAIT_S)
+        self.listener.settimeout(WAIT_TIMEOUT_S)
         self.where = f"127.0.0.1:{self.listener.getsockname()[1]}"
 
     def asked(self) -> bytes:
         """The first line of the first call on the next connection."""
         made, _ = self.listener.accept()
         with made:
-            made.settimeout(WAIT_S)
+            made.settimeout(WAIT_TIMEOUT_S)
             line = made.recv(4096).split(b"\r\n")[0]
             body = b'{"generation":1,"reset":true,"instances":[]}'
             made.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
@@ -108,7 +114,7 @@
 
 def test_sighup_moves_discovery_and_a_bad_file_is_one_line(tmp_path: Path) -> None:
     first, second = Agent(), Agent()
-    with Process(tmp_path, discovery=first.where) as proxy:
+    with ProxyProcess(tmp_path, discovery=first.where) as proxy:
         assert first.asked().startswith(b"GET /registry/instances?after=1&")
         file = tmp_path / "config.json"
         good, errors = json.loads(file.read_text()), proxy.process.stderr
@@ -130,6 +136,6 @@
             assert any(b"&wait_ms=0 " in line for line in lines)  # the first at an address does not wait
         proxy.process.send_signal(signal.SIGTERM)
         proxy.process.send_signal(signal.SIGHUP)
-        assert proxy.process.wait(WAIT_S) == 0
+        assert proxy.process.wait(WAIT_TIMEOUT_S) == 0
     first.listener.close()
     second.listener.close()
--- a/tests/test_restart.py
+++ b/tests/test_restart.py
@@ -11,8 +11,16 @@
 
 import pytest
 
-from tests.loopback import SETTINGS, Backend, Client, Discovery, reply, run, until
-from tests.process import Process
+from tests.proxy_harness import (
+    SETTINGS,
+    Backend,
+    Client,
+    Discovery,
+    make_response,
+    run_with_timeout,
+    wait_until,
+)
+from tests.proxy_process import ProxyProcess
 
 SERVERS = 2351
 GONE_SHARE = 6  # one server in so many was removed while the proxy was away
@@ -32,15 +40,15 @@
         self.body = json.dumps({"generation": 2, "reset": False, "instances": changes}).encode()
         self.told = False
 
-    async def _answer(self) -> bytes:
+    async def _next_response(self) -> bytes:
         if not self.admits.is_set():
             await asyncio.sleep(QUEUE_S)
         if not self.admits.is_set():
-            return reply(503, b"")
+            return make_response(503, b"")
         if self.told:
             await asyncio.Event().wait()  # a watch with nothing to tell
         self.told = True
-        return reply(200, self.body)
+        return make_response(200, self.body)
 
 
 def ask_settings() -> dict[str, Any]:
@@ -50,10 +58,10 @@
 
 async def send_until(end: asyncio.Event, port: int) -> None:
     """Send one request after another; each has to get its answer."""
-    client = await Client.to(port)
+    client = await Client.connect(port)
     while not end.is_set():
         client.send()
-        assert await client.status() in (200, 503)
+        assert await client.read_status() in (200, 503)
         await asyncio.sleep(0.01)
 
 
@@ -68,7 +76,9 @@
     """
     async def main() -> None:
         stays, leaves = await Backend().start(), await Backend().start()
-        rows = [(leaves if i % GONE_SHARE == 0 else stays).row(f"s-{i:08x}") for i in range(SERVERS)]
+        rows = [
+            (leaves if i % GONE_SHARE == 0 else stays).discovery_entry(f"s-{i:08x}") for i in range(SERVERS)
+        ]
         changes = [{**r, "lifecycle": "removed"} for r in rows[::GONE_SHARE]]
         discovery = CrowdedDiscovery(changes)
         await discovery.start()
@@ -76,15 +86,16 @@
         removed = started - removed_before_s
         known = {"generation": 1, "reset": True, "instances": rows}
         where = f"127.0.0.1:{discovery.port}"
-        with Process(tmp_path, discovery=where, known=known, settings=ask_settings()) as proxy:
+        with ProxyProcess(tmp_path, discovery=where, known=known, settings=ask_settings()) as proxy:
             end = asyncio.Event()
             clients = [asyncio.create_task(send_until(end, proxy.port)) for _ in range(CLIENTS)]
             await asyncio.sleep(started + OBSERVED_S - time.monotonic())
-            assert len(discovery.calls) >= 2  # it goes on asking
+            assert len(discovery.request_lines) >= 2  # it goes on asking
             discovery.admits.set()
-            await until(lambda: discovery.told)
+            await wait_until(lambda: discovery.told)
             served = len(stays.requests)
-            await until(lambda: len(stays.requests) >= served + 50)  # and serves once discovery has answered
+            # and serves once discovery has answered
+            await wait_until(lambda: len(stays.requests) >= served + 50)
             end.set()
             await asyncio.gather(*clients)
         told = max(started, removed + TOLD_AFTER_S)
@@ -93,30 +104,30 @@
         for backend in (stays, leaves):
             await backend.stop()
         await discovery.stop()
-    run(main())
+    run_with_timeout(main())
 
 
 def test_nothing_is_sent_to_servers_removed_while_the_process_was_stopped(tmp_path: Path) -> None:
     """It is stopped for longer than its list may be used, and finds a request when it runs again."""
     async def main() -> None:
         leaves, discovery = await Backend().start(), await Discovery().start()
-        rows = [leaves.row(f"s-{i:08x}") for i in range(SERVERS)]
+        rows = [leaves.discovery_entry(f"s-{i:08x}") for i in range(SERVERS)]
         known = {"generation": 1, "reset": True, "instances": rows}
-        discovery.tell(1)  # nothing new; the watch after it never hears of the removal
+        discovery.publish(1)  # nothing new; the watch after it never hears of the removal
         where = f"127.0.0.1:{discovery.port}"
-        with Process(tmp_path, discovery=where, known=known, settings=ask_settings()) as proxy:
-            await until(lambda: len(discovery.calls) == 2)
-            client = await Client.to(proxy.port)
+        with ProxyProcess(tmp_path, discovery=where, known=known, settings=ask_settings()) as proxy:
+            await wait_until(lambda: len(discovery.request_lines) == 2)
+            client = await Client.connect(proxy.port)
             client.send()
-            assert await client.status() == 200
+            assert await client.read_status() == 200
             proxy.process.send_signal(signal.SIGSTOP)
             await asyncio.sleep(TOLD_AFTER_S + GRACE_S)
             # A new connection, as one that has rested for 6 s may be closed just as the request crosses that.
-            client = await Client.to(proxy.port)
+            client = await Client.connect(proxy.port)
             client.send()
             proxy.process.send_signal(signal.SIGCONT)
-            assert await client.status() == 503
+            assert await client.read_status() == 503
             assert len(leaves.requests) == 1
         await leaves.stop()
         await discovery.stop()
-    run(main())
+    run_with_timeout(main())
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -12,40 +12,51 @@
 
 from honeywharf import interface as api
 from honeywharf.brain import Balancer
-from tests.helpers import KEYED, ONCE, REPEATABLE, Driver, endpoint, make_settings, only_refusal, only_send
+from tests.balancer_harness import (
+    KEYED_CLASS,
+    ONCE_CLASS,
+    REPEATABLE_CLASS,
+    BalancerHarness,
+    expect_single_refusal,
+    expect_single_send,
+    make_endpoint,
+    make_settings,
+)
 
 hypothesis_settings.register_profile("ci", derandomize=True, deadline=None, max_examples=150)
 hypothesis_settings.load_profile("ci")
 
-O = api.Outcome  # noqa: E741
-NEVER_RAN = [O.REJECTED, O.CONNECT_FAILED, O.CONNECT_TIMEOUT, O.NOT_SENT]
-MAY_HAVE_RUN = [O.ERROR, O.TIMEOUT, O.RESET, O.CANCELLED]
-CELLS = [endpoint(f"a{i}", cell=i % 2) for i in range(6)] + [endpoint(f"b{i}", "b", cell=2) for i in range(3)]
+Outcome = api.Outcome
+NEVER_RAN = [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.CONNECT_TIMEOUT, Outcome.NOT_SENT]
+MAY_HAVE_RUN = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED]
+CELLS = [make_endpoint(f"a{i}", cell=i % 2) for i in range(6)] + [
+    make_endpoint(f"b{i}", "b", cell=2) for i in range(3)
+]
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_a_once_request_that_may_have_run_fails(outcome: api.Outcome) -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    driver.request("write")
-    assert driver.end(outcome) == [api.Fail("r1")]
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    harness.start_request("write")
+    assert harness.end_attempt(outcome) == [api.Fail("r1")]
 
 
 @pytest.mark.parametrize("outcome", NEVER_RAN)
 def test_what_never_ran_may_go_elsewhere(outcome: api.Outcome) -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    first = only_send(driver.request("write")).endpoint
-    assert only_send(driver.end(outcome)).endpoint != first
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    first = expect_single_send(harness.start_request("write")).endpoint
+    assert expect_single_send(harness.end_attempt(outcome)).endpoint != first
 
 
 @pytest.mark.parametrize("outcome", MAY_HAVE_RUN)
 def test_a_keyed_repeat_stays_in_its_cell(outcome: api.Outcome) -> None:
-    driver = Driver()
-    driver.list(CELLS)
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
     cells = {e.id: e.cell for e in CELLS}
-    first = only_send(driver.request("keyed")).endpoint
-    assert cells[only_send(driver.end(outcome)).endpoint] == cells[first]
+    first = expect_single_send(harness.start_request("keyed")).endpoint
+    assert cells[expect_single_send(harness.end_attempt(outcome)).endpoint] == cells[first]
 
 
 @pytest.mark.parametrize(("after_ms", "waited_ms", "left_ms"), [
@@ -54,85 +65,85 @@
 def test_a_keyed_repeat_may_leave_until_its_window_ends_from_when_the_first_left(
     after_ms: float, waited_ms: float, left_ms: float,
 ) -> None:
-    driver = Driver()
-    driver.list([endpoint("a0"), endpoint("a1")])
-    assert only_send(driver.request("keyed")).leave_within_ms == math.inf
-    repeat = only_send(driver.end(O.RESET, after_ms=after_ms, waited_ms=waited_ms))
+    harness = BalancerHarness()
+    harness.update_endpoints([make_endpoint("a0"), make_endpoint("a1")])
+    assert expect_single_send(harness.start_request("keyed")).leave_within_ms == math.inf
+    repeat = expect_single_send(harness.end_attempt(Outcome.RESET, after_ms=after_ms, waited_ms=waited_ms))
     assert repeat.leave_within_ms == left_ms
 
 
 def test_a_keyed_repeat_past_its_window_fails() -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    driver.request("keyed")
-    assert driver.end(O.ERROR, after_ms=KEYED.window_ms) == [api.Fail("r1")]
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    harness.start_request("keyed")
+    assert harness.end_attempt(Outcome.ERROR, after_ms=KEYED_CLASS.window_ms) == [api.Fail("r1")]
 
 
 def test_attempts_end_at_the_most_allowed() -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    driver.request()
-    assert only_send(driver.end(O.CONNECT_FAILED, 0))
-    assert only_send(driver.end(O.CONNECT_FAILED, 1))
-    assert only_refusal(driver.end(O.CONNECT_FAILED, 2)).request == "r1"
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    harness.start_request()
+    assert expect_single_send(harness.end_attempt(Outcome.CONNECT_FAILED, 0))
+    assert expect_single_send(harness.end_attempt(Outcome.CONNECT_FAILED, 1))
+    assert expect_single_refusal(harness.end_attempt(Outcome.CONNECT_FAILED, 2)).request == "r1"
 
 
 def test_retries_are_budgeted() -> None:
     """Guards against retry storms: when all fails, retries stay a small part of first attempts."""
-    driver = Driver()
-    driver.list(CELLS)
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
     retries = 0
     for _ in range(300):
-        driver.request()
-        actions = driver.end(O.ERROR)
+        harness.start_request()
+        actions = harness.end_attempt(Outcome.ERROR)
         while isinstance(actions[0], api.Send):
             retries += 1
-            actions = driver.end(O.ERROR, attempt=1, after_ms=0.0)
+            actions = harness.end_attempt(Outcome.ERROR, attempt=1, after_ms=0.0)
             if isinstance(actions[0], api.Send):
                 retries += 1
-                actions = driver.end(O.ERROR, attempt=2, after_ms=0.0)
+                actions = harness.end_attempt(Outcome.ERROR, attempt=2, after_ms=0.0)
     assert 5 <= retries <= 36
 
 
 def test_no_endpoint_known_is_refused_and_a_late_list_serves() -> None:
-    driver = Driver()
-    assert only_refusal(driver.request()).request == "r1"
-    driver.list(CELLS)
-    assert only_send(driver.request())
+    harness = BalancerHarness()
+    assert expect_single_refusal(harness.start_request()).request == "r1"
+    harness.update_endpoints(CELLS)
+    assert expect_single_send(harness.start_request())
 
 
 @pytest.mark.parametrize("remaining", [0.0, -5.0])
 def test_no_time_left_is_answered_at_once(remaining: float) -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    assert only_refusal(driver.request(remaining_ms=remaining)).request == "r1"
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    assert expect_single_refusal(harness.start_request(remaining_ms=remaining)).request == "r1"
 
 
 def test_an_unknown_class_is_answered() -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    assert driver.request("mystery") == [api.Fail("r1")]
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    assert harness.start_request("mystery") == [api.Fail("r1")]
 
 
 def test_events_of_forgotten_requests_are_passed_over() -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    driver.request()
-    assert driver.feed(api.RequestExpired("r1")) == []
-    assert driver.end(O.TIMEOUT) == []
-    assert driver.end(O.OK) == []
-    assert driver.feed(api.RequestExpired("r1")) == []
-    assert driver.feed(api.AttemptOpened("nobody", 0)) == []
-    assert driver.feed(api.TimerFired("nothing")) == []
-    assert driver.feed(api.ProbeEnded("a0", O.OK, 1.0)) == []
-    assert not driver.balancer.requests
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    harness.start_request()
+    assert harness.feed(api.RequestExpired("r1")) == []
+    assert harness.end_attempt(Outcome.TIMEOUT) == []
+    assert harness.end_attempt(Outcome.OK) == []
+    assert harness.feed(api.RequestExpired("r1")) == []
+    assert harness.feed(api.AttemptOpened("nobody", 0)) == []
+    assert harness.feed(api.TimerFired("nothing")) == []
+    assert harness.feed(api.ProbeEnded("a0", Outcome.OK, 1.0)) == []
+    assert not harness.balancer.requests
 
 
 def test_the_time_out_at_the_deadline_is_answered() -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    driver.request("write")
-    assert driver.end(O.TIMEOUT, after_ms=2000.0) == [api.Fail("r1")]
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    harness.start_request("write")
+    assert harness.end_attempt(Outcome.TIMEOUT, after_ms=2000.0) == [api.Fail("r1")]
 
 
 class RuleBrokenError(AssertionError):
@@ -170,7 +181,7 @@
             attempt["live"] = False
             attempt["ran"] = event.outcome not in NEVER_RAN
             held = self.open[event.request]
-            if event.outcome in (O.TIMEOUT, O.RESET, O.CANCELLED) and held["cls"].in_order:
+            if event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED) and held["cls"].in_order:
                 self.rests[held["key"]] = now + self.gap_ms
             if event.request_over:
                 self.over.add(event.request)
@@ -251,9 +262,9 @@
             if isinstance(action, api.Send):
                 held = self.checker.open[action.request]
                 end = min(self.now + self.random.choice([1, 50, 300, 5000]), self.now + action.timeout_ms)
-                outcome = self.random.choice([O.OK, O.OK, *O])
+                outcome = self.random.choice([Outcome.OK, Outcome.OK, *Outcome])
                 if end >= held["deadline"] or end >= self.now + action.timeout_ms:
-                    outcome = O.TIMEOUT
+                    outcome = Outcome.TIMEOUT
                 self.out.append((end, action.request, len(held["tries"]) - 1, outcome))
 
     def run_to(self, until: float) -> None:
@@ -269,7 +280,7 @@
                 self.feed(api.TimerFired(self.timers.pop(0)[1]))
                 continue
             _, request, attempt, outcome = self.out.pop(0)
-            over = request in self.checker.over or outcome is O.OK
+            over = request in self.checker.over or outcome is Outcome.OK
             elapsed = due - self.checker.open[request]["tries"][attempt]["sent"]
             self.feed(api.AttemptEnded(request, attempt, outcome, elapsed, over))
         self.now = until
@@ -287,7 +298,7 @@
         elif kind == 8:
             old = CELLS[self.random.randrange(len(CELLS))]
             state = self.random.choice(list(api.EndpointState))
-            new = endpoint(old.id, old.zone, cell=old.cell, state=state, started_ms=self.now)
+            new = make_endpoint(old.id, old.zone, cell=old.cell, state=state, started_ms=self.now)
             self.feed(api.EndpointsListed(api.ListKind.CHANGES, (new,)))
         elif self.count and f"q{self.count}" not in self.checker.over:
             self.feed(api.RequestExpired(f"q{self.count}"))
@@ -316,7 +327,7 @@
     write = api.RequestClass("write", 1000, 2000, api.Effect.ONCE, in_order=ordered)
     limits = api.Limits(max_attempts=3, cancel=True, concurrent_attempts=copies)
     balancer = run_world(
-        Balancer, seed, steps, tier=tier, tiers=2, classes=(REPEATABLE, write, keyed), limits=limits,
+        Balancer, seed, steps, tier=tier, tiers=2, classes=(REPEATABLE_CLASS, write, keyed), limits=limits,
         rules=api.Rules(cold_share=0.2, warm_after_ms=10000, ask_every_ms=10000, turn_gap_ms=150.0),
     )
     assert not balancer.requests
@@ -383,9 +394,17 @@
     for seed in range(30):
         try:
             run_world(
-                broken, seed, [rng.randrange(10) for _ in range(100)], classes=(
-                    REPEATABLE, ONCE, KEYED, replace(ONCE, name="ordered", in_order=True)),
-                rules=api.Rules(turn_gap_ms=150.0))
+                broken,
+                seed,
+                [rng.randrange(10) for _ in range(100)],
+                classes=(
+                    REPEATABLE_CLASS,
+                    ONCE_CLASS,
+                    KEYED_CLASS,
+                    replace(ONCE_CLASS, name="ordered", in_order=True),
+                ),
+                rules=api.Rules(turn_gap_ms=150.0),
+            )
         except RuleBrokenError:
             caught = True
     assert caught
@@ -393,18 +412,20 @@
 
 def test_calls_to_a_cold_server_stay_within_its_part() -> None:
     """The per-balancer bound of the cold-start rule: no window gives it more than its warm part."""
-    driver = Driver()
-    start = driver.now
-    driver.list([endpoint("a0", started_ms=start), *(endpoint(f"a{i}") for i in range(1, 5))])
+    harness = BalancerHarness()
+    start = harness.now_ms
+    harness.update_endpoints(
+        [make_endpoint("a0", started_ms=start), *(make_endpoint(f"a{i}") for i in range(1, 5))]
+    )
     sent: list[float] = []
     total = 0
-    while driver.now < start + 10000:
-        for action in driver.request():
+    while harness.now_ms < start + 10000:
+        for action in harness.start_request():
             total += 1
             if isinstance(action, api.Send) and action.endpoint == "a0":
-                sent.append(driver.now)
-        driver.end(api.Outcome.OK, after_ms=1.0)
-    per_ms = total / (driver.now - start)
+                sent.append(harness.now_ms)
+        harness.end_attempt(api.Outcome.OK, after_ms=1.0)
+    per_ms = total / (harness.now_ms - start)
     for window in range(0, 10000, 1000):
         warmth = 0.2 + 0.8 * (window + 2000) / 10000
         part = warmth / (4 + warmth)
@@ -413,9 +434,9 @@
 
 
 def test_an_attempt_that_was_never_made_is_passed_over() -> None:
-    driver = Driver()
-    driver.list(CELLS)
-    driver.request()
-    assert driver.end(O.ERROR, attempt=-1) == []
-    assert driver.end(O.ERROR, attempt=7) == []
-    assert only_send(driver.end(O.CONNECT_FAILED, attempt=0))
+    harness = BalancerHarness()
+    harness.update_endpoints(CELLS)
+    harness.start_request()
+    assert harness.end_attempt(Outcome.ERROR, attempt=-1) == []
+    assert harness.end_attempt(Outcome.ERROR, attempt=7) == []
+    assert expect_single_send(harness.end_attempt(Outcome.CONNECT_FAILED, attempt=0))
