--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,4 +1,4 @@
-"""Small builders and a driver that the tests share."""
+"""Builders of settings and endpoints, and a harness that feeds events to a balancer, without any I/O."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def make_settings(**changes: Any) -> api.Settings:
-    """Settings of two zones and three classes, with any field replaced."""
+    """Build settings with two zones and three request classes; `changes` replaces any of the fields."""
     fields: dict[str, Any] = {
         "zone": "a",
         "zones": 2,
@@ -42,7 +42,7 @@
 
 
 class BalancerHarness:
-    """Feeds one balancer and keeps what it did."""
+    """Feeds events to one balancer, keeps its clock and numbers its requests "r1", "r2" and so on."""
 
     def __init__(self, settings: api.Settings | None = None, seed: int = 7) -> None:
         self.balancer = Balancer(settings or make_settings(), seed)
@@ -66,17 +66,17 @@
         self, outcome: api.Outcome, attempt: int = 0, request: str | None = None, after_ms: float = 50.0,
         **changes: Any,
     ) -> Actions:
-        """End an attempt of the last request (or of the one named) after some time."""
+        """Advance the clock by `after_ms`, then end an attempt of the given (or else the latest) request."""
         self.now_ms += after_ms
         changes.setdefault("request_over", outcome is api.Outcome.OK)
         return self.feed(
             api.AttemptEnded(request or f"r{self.request_count}", attempt, outcome, after_ms, **changes)
         )
 
-    def run_requests(self, calls: int, outcome: api.Outcome = api.Outcome.OK) -> dict[str, int]:
-        """Make calls that all end alike; the number sent to each endpoint."""
+    def run_requests(self, count: int, outcome: api.Outcome = api.Outcome.OK) -> dict[str, int]:
+        """Run requests that all end with the same outcome; return how many were sent to each endpoint."""
         sent: dict[str, int] = {}
-        for _ in range(calls):
+        for _ in range(count):
             for action in self.start_request():
                 if isinstance(action, api.Send):
                     sent[action.endpoint] = sent.get(action.endpoint, 0) + 1
@@ -85,14 +85,14 @@
 
 
 def expect_single_send(actions: list[api.Action]) -> api.Send:
-    """The one Send among the actions."""
-    sends = [a for a in actions if isinstance(a, api.Send)]
+    """Return the only Send among the actions, which may hold actions of other kinds too."""
+    sends = [action for action in actions if isinstance(action, api.Send)]
     assert len(sends) == 1, actions
     return sends[0]
 
 
 def expect_single_refusal(actions: list[api.Action]) -> api.Refuse:
-    """The one action, a refusal that tells when to come back."""
+    """Return the only action, which has to be a refusal that says when to retry."""
     (action,) = actions
     assert isinstance(action, api.Refuse), actions
     assert 200.0 <= action.retry_after_ms <= 600.0
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,7 +1,8 @@
-"""What holds for all tests: those that fail for a known fault, and connections that no loaded machine delays.
+"""Pytest configuration: expects known failures, and disables second connections to slow backends.
 
-KNOWN-RED.txt lists the tests that fail for a known fault; a run passes over just these and prints them. A
-line of the file is `test | cause | issue`, with the test's node id; three lines at most.
+KNOWN-RED.txt lists the tests that fail because of a known fault. A test run prints them and does not fail
+because of them. Each line of the file reads `test | cause | issue`, where `test` is a pytest node id. At most
+three lines are allowed.
 """
 
 from __future__ import annotations
@@ -16,38 +17,39 @@
 MAX_KNOWN_RED = 3
 
 
-def known_red() -> dict[str, str]:
-    """The listed tests by node id, each with its cause and issue."""
+def read_known_red() -> dict[str, str]:
+    """Return the cause and issue of each listed test, by node id."""
     if not KNOWN_RED_FILE.exists():
         return {}
     lines = [line.strip() for line in KNOWN_RED_FILE.read_text().splitlines()]
-    listed = {}
+    reasons = {}
     for line in filter(None, lines):
         test, cause, issue = (part.strip() for part in line.split("|"))
-        listed[test] = f"{cause}, {issue}"
-    if len(listed) > MAX_KNOWN_RED:
-        raise pytest.UsageError(f"KNOWN-RED.txt lists {len(listed)} tests, {MAX_KNOWN_RED} at most may be")
-    return listed
+        reasons[test] = f"{cause}, {issue}"
+    if len(reasons) > MAX_KNOWN_RED:
+        raise pytest.UsageError(f"KNOWN-RED.txt lists {len(reasons)} tests, at most {MAX_KNOWN_RED} allowed")
+    return reasons
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Let the listed tests run and fail; print them."""
-    listed = known_red()
+    """Mark the listed tests as expected failures and print them."""
+    reasons = read_known_red()
     for item in items:
-        if item.nodeid in listed:
-            item.add_marker(pytest.mark.xfail(reason=listed[item.nodeid], strict=False))
+        if item.nodeid in reasons:
+            item.add_marker(pytest.mark.xfail(reason=reasons[item.nodeid], strict=False))
     terminal = config.pluginmanager.get_plugin("terminalreporter")
     if terminal is not None:
-        for test, why in listed.items():
-            terminal.write_line(f"known red: {test}: {why}")
+        for test, reason in reasons.items():
+            terminal.write_line(f"known red: {test}: {reason}")
 
 
 @pytest.fixture(autouse=True)
-def ordinary_connections_are_in_time(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have no further connection dialled beside one that a loaded machine delays for over 10 ms.
+def disable_second_connections(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Stop the proxy from opening a second connection when the first one is slow to connect.
 
-    Tests of other things count connections. Those of late connections, in test_dialing.py, set the delays
-    themselves and keep the real patience.
+    The proxy waits for at least 10 ms before it does so. A loaded machine can delay a connection by more than
+    that, and many tests count connections. Only the tests of slow connections, in test_dialing.py, keep the
+    real minimum, because they set the delays themselves.
     """
     if request.module.__name__ != "tests.test_dialing":
         monkeypatch.setattr(connect_times, "LEAST_PATIENCE_MS", 60_000.0)
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -1,4 +1,7 @@
-"""Scripted neighbours on loopback sockets, and a proxy between them, for the tests of honeywharf.net."""
+"""A harness for the tests of honeywharf.net.
+
+It runs a proxy between scripted backends, a scripted discovery service and clients, all on loopback sockets.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,9 @@
 from honeywharf.net.calls import Call
 
 T = TypeVar("T")
-WAIT_TIMEOUT_S = 20.0  # for what must happen; a test that waits so long has failed
+# How long a test waits for something that has to happen, before it fails.
+WAIT_TIMEOUT_S = 20.0
+# The settings of the proxy under test, as they stand in its configuration file.
 SETTINGS: dict[str, Any] = {
     "bounds": {
         "mostTries": 3, "cancel": True, "secondCopies": True, "probes": True, "retryAfter": True,
@@ -35,35 +40,36 @@
     "tier": 0, "tiers": ["t"], "zone": "z", "zones": ["z", "y"],
 }
 
-HttpMessage = tuple[bytes, dict[bytes, bytes], bytes]  # first line, headers in lower case, body
+# An HTTP request or response: its first line, its headers (names in lower case) and its body.
+HttpMessage = tuple[bytes, dict[bytes, bytes], bytes]
 
 
 def run_with_timeout(main: Coroutine[Any, Any, T]) -> T:
-    """Run a test's coroutine in a loop of the real proxy's kind, for a bounded time."""
+    """Run a test's coroutine on uvloop, as the real proxy runs, and fail if it takes too long."""
     return uvloop.run(asyncio.wait_for(main, 3 * WAIT_TIMEOUT_S))
 
 
-async def with_timeout(what: Awaitable[T]) -> T:
-    """Wait for what must come."""
-    return await asyncio.wait_for(what, WAIT_TIMEOUT_S)
+async def with_timeout(awaitable: Awaitable[T]) -> T:
+    """Await something that has to happen, and fail after `WAIT_TIMEOUT_S`."""
+    return await asyncio.wait_for(awaitable, WAIT_TIMEOUT_S)
 
 
-async def wait_until(holds: Callable[[], bool]) -> None:
-    """Wait for a state that must come."""
+async def wait_until(condition: Callable[[], bool]) -> None:
+    """Poll a condition that has to become true, and fail after `WAIT_TIMEOUT_S`."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
-        while not holds():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
 async def read_message(reader: asyncio.StreamReader) -> HttpMessage:
-    """One message with Content-Length."""
+    """Read one HTTP request or response whose body, if any, has a Content-Length."""
     head = await reader.readuntil(b"\r\n\r\n")
-    first, *lines = head[:-4].split(b"\r\n")
+    first_line, *header_lines = head[:-4].split(b"\r\n")
     headers = {}
-    for line in lines:
+    for line in header_lines:
         name, _, value = line.partition(b":")
         headers[name.strip().lower()] = value.strip()
-    return first, headers, await reader.readexactly(int(headers.get(b"content-length", b"0")))
+    return first_line, headers, await reader.readexactly(int(headers.get(b"content-length", b"0")))
 
 
 def make_response(status: int = 200, body: bytes = b"ok", *headers: bytes) -> bytes:
@@ -72,16 +78,19 @@
 
 
 class Backend:
-    """Answers each request with what `script` says: bytes to write, or None to say nothing.
+    """A backend that handles each request as the next entry of `scripted_responses` says.
 
-    What the script holds beyond bytes: "close" ends the connection with no answer. Before each: `pause_s`.
+    An entry is the bytes of a response, or None for no response at all, or "close" to close the connection
+    without a response. Once the script has run out, `default_response` says what to do. Each response is
+    delayed by `response_delay_s`.
     """
 
     response_delay_s = 0.0
 
     def __init__(self) -> None:
         self.requests: list[HttpMessage] = []
-        self.request_times: list[float] = []  # when each came, on the monotonic clock
+        # The monotonic time in seconds at which each request arrived.
+        self.request_times: list[float] = []
         self.scripted_responses: list[bytes | str | None] = []
         self.default_response: bytes | str | None = make_response()
         self.connection_count = 0
@@ -104,13 +113,15 @@
                 self.requests.append(await read_message(reader))
                 self.request_times.append(time.monotonic())
                 self.request_received.set()
-                step = self.scripted_responses.pop(0) if self.scripted_responses else self.default_response
+                response = (
+                    self.scripted_responses.pop(0) if self.scripted_responses else self.default_response
+                )
                 if self.response_delay_s:
                     await asyncio.sleep(self.response_delay_s)
-                if step == "close":
+                if response == "close":
                     break
-                if isinstance(step, bytes):
-                    writer.write(step)
+                if isinstance(response, bytes):
+                    writer.write(response)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
         finally:
@@ -119,9 +130,10 @@
             writer.close()
 
     def discovery_entry(
-        self, name: str, zone: str = "z", lifecycle: str = "up", **more: Any
+        self, name: str, zone: str = "z", lifecycle: str = "up", **changes: Any
     ) -> dict[str, Any]:
-        return discovery_entry(name, self.port, zone, lifecycle, **more)
+        """Return an entry of discovery's list that points to this backend."""
+        return discovery_entry(name, self.port, zone, lifecycle, **changes)
 
     async def stop(self) -> None:
         if self.server is not None:
@@ -131,16 +143,17 @@
 
 
 def discovery_entry(
-    name: str, port: int, zone: str = "z", lifecycle: str = "up", **more: Any
+    name: str, port: int, zone: str = "z", lifecycle: str = "up", **changes: Any
 ) -> dict[str, Any]:
+    """Build an entry of discovery's list, as JSON; `changes` replaces or adds keys."""
     return {
         "instanceId": name, "hostPort": f"127.0.0.1:{port}", "zone": zone, "machineType": "k", "cell": 1,
-        "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0, **more,
+        "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0, **changes,
     }
 
 
 class Discovery:
-    """Holds each watch until `tell` gives it something, and notes the calls."""
+    """A discovery service that holds each poll until a response is published, and keeps the request lines."""
 
     def __init__(self) -> None:
         self.request_lines: list[bytes] = []
@@ -155,16 +168,17 @@
         self.port = self.server.sockets[0].getsockname()[1]
         return self
 
-    def publish(self, generation: int, *rows: dict[str, Any], reset: bool = False) -> None:
-        body = json.dumps({"generation": generation, "reset": reset, "instances": rows}).encode()
+    def publish(self, generation: int, *entries: dict[str, Any], reset: bool = False) -> None:
+        """Answer the current or next poll with these entries: changes, or the full list if `reset` is set."""
+        body = json.dumps({"generation": generation, "reset": reset, "instances": entries}).encode()
         self.responses.put_nowait(make_response(200, body))
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections.add(writer)
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                first, _, _ = await read_message(reader)
-                self.request_lines.append(first)
+                request_line, _, _ = await read_message(reader)
+                self.request_lines.append(request_line)
                 self.request_received.set()
                 writer.write(await self._next_response())
         self.connections.discard(writer)
@@ -180,39 +194,42 @@
             writer.transport.abort()
 
 
-def make_config(port: int, rows: list[dict[str, Any]], **changes: Any) -> config.Config:
-    """A configuration, with whole groups of the settings replaced key by key."""
+def make_config(discovery_port: int, entries: list[dict[str, Any]], **changes: Any) -> config.Config:
+    """Build a proxy's configuration; `entries` is the endpoint list that it knows at the start.
+
+    `changes` replaces settings by their key; of a group of settings, only the given keys are replaced.
+    """
     sockets = changes.pop("sockets", 1024)
     settings = {
-        k: {**v, **changes.get(k, {})} if isinstance(v, dict) else changes.get(k, v)
-        for k, v in SETTINGS.items()
+        key: {**value, **changes.get(key, {})} if isinstance(value, dict) else changes.get(key, value)
+        for key, value in SETTINGS.items()
     }
     return config.Config(
-        name="n", listen=("127.0.0.1", 0), discovery=("127.0.0.1", port), seed=7, sockets=sockets,
-        known={"generation": 1, "reset": True, "instances": rows}, settings=wire.settings(settings),
+        name="n", listen=("127.0.0.1", 0), discovery=("127.0.0.1", discovery_port), seed=7, sockets=sockets,
+        known={"generation": 1, "reset": True, "instances": entries}, settings=wire.settings(settings),
         report_fields=tuple(settings["report"]["fields"]),
     )
 
 
 class ProxyHarness:
-    """A proxy, its discovery, and what the decision module was told and asked for."""
+    """A proxy and its discovery service; records the events and actions of the proxy's decision module."""
 
-    def __init__(self, conf: config.Config, discovery: Discovery) -> None:
-        self.proxy = Proxy(conf, asyncio.get_running_loop())
+    def __init__(self, proxy_config: config.Config, discovery: Discovery) -> None:
+        self.proxy = Proxy(proxy_config, asyncio.get_running_loop())
         self.discovery = discovery
         self.events: list[api.Event] = []
         self.actions: list[api.Action] = []
         self.port = 0
         self.task: asyncio.Task[None] | None = None
-        inner = self.proxy.driver.balancer.handle
+        handle = self.proxy.driver.balancer.handle
 
-        def handle(now_ms: float, event: api.Event) -> list[api.Action]:
+        def handle_and_record(now_ms: float, event: api.Event) -> list[api.Action]:
             self.events.append(event)
-            actions = inner(now_ms, event)
+            actions = handle(now_ms, event)
             self.actions += actions
             return actions
 
-        self.proxy.driver.balancer.handle = handle  # type: ignore[method-assign]
+        self.proxy.driver.balancer.handle = handle_and_record  # type: ignore[method-assign]
 
     async def start(self) -> None:
         self.task = asyncio.create_task(self.proxy.run())
@@ -222,16 +239,16 @@
         self.port = server.sockets[0].getsockname()[1]
 
     def ended_attempts(self) -> list[api.AttemptEnded]:
-        return [e for e in self.events if isinstance(e, api.AttemptEnded)]
+        return [event for event in self.events if isinstance(event, api.AttemptEnded)]
 
     async def wait_for_ended_attempt(self, number: int = 1) -> api.AttemptEnded:
-        """The last of so many ended attempts, once they have ended."""
+        """Wait until this many attempts have ended, and return the last of them."""
         await wait_until(lambda: len(self.ended_attempts()) >= number)
         return self.ended_attempts()[number - 1]
 
 
 class GatedLoop:
-    """The loop, except that a new connection comes up only once it is let."""
+    """Wraps an event loop and holds back new connections until `connections_allowed` is set."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop, self.connections_allowed = loop, asyncio.Event()
@@ -245,7 +262,7 @@
 
 
 class RecordingCall(Call):
-    """A call that keeps what came of it."""
+    """A call that records its outcomes, and sets `finished` when it ends."""
 
     __slots__ = ("finished", "outcomes", "response_body")
 
@@ -261,46 +278,47 @@
 
 
 def received_lists(harness: ProxyHarness) -> list[api.EndpointsListed]:
-    """All but word of no change, which only ends what was overdue."""
-    return [e for e in harness.events if isinstance(e, api.EndpointsListed)
-            and (e.endpoints or e.kind is not api.ListKind.CHANGES)]
+    """Return the decision module's list events, except empty changes, which only confirm the current list."""
+    return [event for event in harness.events if isinstance(event, api.EndpointsListed)
+            and (event.endpoints or event.kind is not api.ListKind.CHANGES)]
 
 
 async def wait_for_list(harness: ProxyHarness, number: int) -> api.EndpointsListed:
+    """Wait until this many list events have been received, and return the last of them."""
     await wait_until(lambda: len(received_lists(harness)) >= number)
     return received_lists(harness)[number - 1]
 
 
 @asynccontextmanager
-async def started_proxy(rows: list[dict[str, Any]], **changes: Any) -> AsyncIterator[ProxyHarness]:
-    """A running proxy that knows these backends; discovery answers it with what the test tells it to."""
+async def started_proxy(entries: list[dict[str, Any]], **changes: Any) -> AsyncIterator[ProxyHarness]:
+    """Run a proxy that knows these endpoints; its first poll waits until the test publishes a response."""
     discovery = await Discovery().start()
-    made = ProxyHarness(make_config(discovery.port, rows, **changes), discovery)
-    await made.start()
+    harness = ProxyHarness(make_config(discovery.port, entries, **changes), discovery)
+    await harness.start()
     try:
-        yield made
+        yield harness
     finally:
-        assert made.task is not None
-        made.task.cancel()
-        made.proxy.frontend.stop_listening()
-        for connection in list(made.proxy.frontend.connections):
+        assert harness.task is not None
+        harness.task.cancel()
+        harness.proxy.frontend.stop_listening()
+        for connection in list(harness.proxy.frontend.connections):
             connection.transport.abort()
         await discovery.stop()
         with suppress(asyncio.CancelledError):
-            await made.task
+            await harness.task
 
 
 @asynccontextmanager
-async def synced_proxy(rows: list[dict[str, Any]], **changes: Any) -> AsyncIterator[ProxyHarness]:
-    """The same, once its first poll has been answered with nothing new."""
-    async with started_proxy(rows, **changes) as made:
-        made.discovery.publish(1)
-        await wait_until(lambda: made.proxy.watch.first_poll_done)
-        yield made
+async def synced_proxy(entries: list[dict[str, Any]], **changes: Any) -> AsyncIterator[ProxyHarness]:
+    """Run a proxy that knows these endpoints, and whose first poll has returned that nothing has changed."""
+    async with started_proxy(entries, **changes) as harness:
+        harness.discovery.publish(1)
+        await wait_until(lambda: harness.proxy.watch.first_poll_done)
+        yield harness
 
 
 class Client:
-    """A caller on one connection."""
+    """A client with one connection to the proxy."""
 
     request_count = 0
 
@@ -311,21 +329,24 @@
     async def connect(cls, port: int) -> Client:
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
-    def send(self, class_name: str = "read", body: bytes = b"", left: str = "4000m", *headers: str) -> str:
-        """Write one request; its id."""
+    def send(
+        self, class_name: str = "read", body: bytes = b"", time_left: str = "4000m", *headers: str
+    ) -> str:
+        """Write one request and return its id; with an empty `time_left`, it has no X-Time-Left header."""
         Client.request_count += 1
-        name = f"id{Client.request_count:08x}"
+        request_id = f"id{Client.request_count:08x}"
         method = "GET" if class_name == "read" else "POST"
         lines = [
-            f"{method} /api?q=1 HTTP/1.1", "Host: app.svc", f"X-Correlation-Id: {name}",
-            f"X-Service-Class: {class_name}", *([f"X-Time-Left: {left}"] if left else []), *headers,
+            f"{method} /api?q=1 HTTP/1.1", "Host: app.svc", f"X-Correlation-Id: {request_id}",
+            f"X-Service-Class: {class_name}", *([f"X-Time-Left: {time_left}"] if time_left else []),
+            *headers,
         ]
         if class_name == "order":
-            lines.append(f"Idempotency-Key: key-{name}")
+            lines.append(f"Idempotency-Key: key-{request_id}")
         if method == "POST":
             lines.append(f"Content-Length: {len(body)}")
         self.writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-        return name
+        return request_id
 
     async def read_response(self) -> HttpMessage:
         return await with_timeout(read_message(self.reader))
@@ -334,9 +355,10 @@
         return int((await self.read_response())[0].split()[1])
 
     async def round_trip(self, raw: bytes) -> int:
+        """Write raw bytes and return the status of the response."""
         self.writer.write(raw)
         return await self.read_status()
 
     async def reaches_eof(self) -> bool:
-        """Whether the proxy closes the connection, with nothing more on it."""
+        """Return whether the proxy closes the connection without sending any more bytes."""
         return await with_timeout(self.reader.read()) == b""
--- a/tests/proxy_process.py
+++ b/tests/proxy_process.py
@@ -1,4 +1,4 @@
-"""The program as a process of its own, for the tests that need one."""
+"""Runs the proxy as a separate process, for the tests that need a real one."""
 
 from __future__ import annotations
 
@@ -16,25 +16,32 @@
 REPOSITORY_ROOT = Path(__file__).parent.parent
 
 
-def write_config(path: Path, **changes: Any) -> dict[str, str]:
-    raw = {
+def write_config(directory: Path, **changes: Any) -> dict[str, str]:
+    """Write a configuration file and return the environment that names it.
+
+    `changes` replaces top-level keys of the configuration.
+    """
+    configuration = {
         "name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "settings": SETTINGS,
         "known": {"generation": 1, "reset": True, "instances": [discovery_entry("b", 1)]}, **changes,
     }
-    file = path / "config.json"
-    file.write_text(json.dumps(raw))
+    file = directory / "config.json"
+    file.write_text(json.dumps(configuration))
     return {**os.environ, "NODE_CONFIG": str(file)}
 
 
 class ProxyProcess:
-    """The program, listening."""
+    """A listening proxy process, killed at the end of its `with` block.
+
+    `descriptors` limits its open files; `changes` replaces top-level keys of its configuration.
+    """
 
-    def __init__(self, path: Path, **changes: Any) -> None:
+    def __init__(self, directory: Path, **changes: Any) -> None:
         descriptors = changes.pop("descriptors", 1024)
         self.process = subprocess.Popen(
             [sys.executable, "-m", "honeywharf"], cwd=REPOSITORY_ROOT, stderr=subprocess.PIPE, text=True,
-            env=write_config(path, **changes),
+            env=write_config(directory, **changes),
             preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors)))
         assert self.process.stderr is not None
         line = self.process.stderr.readline()
@@ -42,14 +49,14 @@
         self.port = int(line.rpartition(":")[2])
 
     def connect(self) -> socket.socket:
-        made = socket.create_connection(("127.0.0.1", self.port), WAIT_TIMEOUT_S)
-        made.settimeout(WAIT_TIMEOUT_S)
-        return made
+        connection = socket.create_connection(("127.0.0.1", self.port), WAIT_TIMEOUT_S)
+        connection.settimeout(WAIT_TIMEOUT_S)
+        return connection
 
     def get(self, path: str = "/health/ready") -> bytes:
-        with self.connect() as made:
-            made.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
-            return made.recv(4096)
+        with self.connect() as connection:
+            connection.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
+            return connection.recv(4096)
 
     def __enter__(self) -> ProxyProcess:
         return self
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -80,7 +80,7 @@
             while clock.ms < end:
                 clock.ms += rng.expovariate(PER_S) * 1000.0
                 client = clients[first + rng.randrange(PROXIES)]
-                client.send(left="60000m")
+                client.send(time_left="60000m")
                 await client.read_status()
             return len(backend.requests) - sent
 
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -255,7 +255,7 @@
         backend.default_response = None
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
-            client.send("pay", left="300m")
+            client.send("pay", time_left="300m")
             assert await client.read_status() == 502
             assert [e.outcome for e in harness.ended_attempts()] == [Outcome.TIMEOUT]
             await wait_until(lambda: backend.closed_connection_count == 1)
