--- a/honeywharf/wire.py
+++ b/honeywharf/codec.py
@@ -10,7 +10,7 @@
 Fields = dict[str, Any]
 
 
-class WireError(Exception):
+class DecodeError(Exception):
     """A line that is not what the wire allows."""
 
 
@@ -54,7 +54,7 @@
     if value is None and default is not _MISSING:
         return float(default)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise WireError(f"{name}: a number is wanted, not {value!r}")
+        raise DecodeError(f"{name}: a number is wanted, not {value!r}")
     return float(value)
 
 
@@ -63,7 +63,7 @@
     if value is None and default is not _MISSING:
         return int(default)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise WireError(f"{name}: a whole number is wanted, not {value!r}")
+        raise DecodeError(f"{name}: a whole number is wanted, not {value!r}")
     return value
 
 
@@ -72,7 +72,7 @@
     if value is None and default is not _MISSING:
         return str(default)
     if not isinstance(value, str):
-        raise WireError(f"{name}: text is wanted, not {value!r}")
+        raise DecodeError(f"{name}: text is wanted, not {value!r}")
     return value
 
 
@@ -81,7 +81,7 @@
     if value is None:
         return False
     if not isinstance(value, bool):
-        raise WireError(f"{name}: true or false is wanted, not {value!r}")
+        raise DecodeError(f"{name}: true or false is wanted, not {value!r}")
     return value
 
 
@@ -90,7 +90,7 @@
     if value is None and default is not _MISSING:
         return default
     if isinstance(value, bool) or not isinstance(value, str | int) or value not in table:
-        raise WireError(f"{name}: unknown value {value!r}")
+        raise DecodeError(f"{name}: unknown value {value!r}")
     return table[value]
 
 
@@ -99,7 +99,7 @@
     if value is None:
         return {}
     if not isinstance(value, dict):
-        raise WireError(f"{name}: an object is wanted, not {value!r}")
+        raise DecodeError(f"{name}: an object is wanted, not {value!r}")
     return value
 
 
@@ -108,7 +108,7 @@
     if value is None and default is not _MISSING:
         return list(default)
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
-        raise WireError(f"{name}: a list of objects is wanted")
+        raise DecodeError(f"{name}: a list of objects is wanted")
     return value
 
 
@@ -117,7 +117,7 @@
     if value is None:
         return ()
     if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-        raise WireError(f"{name}: a list of texts is wanted, not {value!r}")
+        raise DecodeError(f"{name}: a list of texts is wanted, not {value!r}")
     return tuple(value)
 
 
@@ -126,14 +126,14 @@
     if value is None:
         return None
     if not isinstance(value, list):
-        raise WireError(f"metrics: a row is wanted, not {value!r}")
+        raise DecodeError(f"metrics: a row is wanted, not {value!r}")
     for item in value:
         if isinstance(item, bool) or not isinstance(item, int | float):
-            raise WireError(f"metrics: numbers are wanted, not {item!r}")
+            raise DecodeError(f"metrics: numbers are wanted, not {item!r}")
     return tuple(value)
 
 
-def settings(raw: Fields) -> api.Settings:
+def decode_settings(raw: Fields) -> api.Settings:
     """The settings of a `Born` event."""
     report, family = _object(raw, "report"), _object(raw, "familyInfo")
     tiers, zones = _texts(raw, "tiers"), _texts(raw, "zones")
@@ -242,7 +242,7 @@
     )
 
 
-def endpoints(rows: list[Fields]) -> tuple[api.Endpoint, ...]:
+def decode_endpoints(rows: list[Fields]) -> tuple[api.Endpoint, ...]:
     """The entries of a `Ledger`."""
     return tuple(
         api.Endpoint(
@@ -276,7 +276,7 @@
     try:
         payload = bytes.fromhex(_text(f, "bytes", ""))
     except ValueError:
-        raise WireError(f"bytes: hex digits are wanted, not {f['bytes']!r}") from None
+        raise DecodeError(f"bytes: hex digits are wanted, not {f['bytes']!r}") from None
     return api.PeerMessage(_integer(f, "sender"), payload)
 
 
@@ -293,7 +293,7 @@
 
 
 #: Events that concern a running instance and need nothing but their own fields.
-EVENTS: dict[str, Callable[[Fields], api.Event]] = {
+EVENT_DECODERS: dict[str, Callable[[Fields], api.Event]] = {
     "WorkItem": _arrived,
     "Ended": _ended,
     "Opened": _opened,
@@ -304,7 +304,7 @@
 }
 
 #: What each action looks like on the wire; {"who": instance} is added.
-ACTIONS: dict[type, tuple[str, Callable[[Any], Fields]]] = {
+ACTION_ENCODERS: dict[type, tuple[str, Callable[[Any], Fields]]] = {
     api.Send: (
         "Transmit", lambda a: {"ref": a.request, "timeoutMs": a.timeout_ms, "backend": a.endpoint},
     ),
@@ -323,30 +323,30 @@
 }
 
 
-def integer(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
+def integer_field(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
     """A whole number of a message, required where no default is given."""
     return _integer(fields, name, default)
 
 
-def number(fields: Mapping[str, Any], name: str) -> float:
+def number_field(fields: Mapping[str, Any], name: str) -> float:
     """A required number of a message."""
     return _number(fields, name)
 
 
-def list_kind(fields: Mapping[str, Any]) -> api.ListKind:
+def decode_list_kind(fields: Mapping[str, Any]) -> api.ListKind:
     """The kind of a `Membership` event."""
     kind: api.ListKind = _choice(LIST_KINDS, fields, "kind")
     return kind
 
 
-def members(fields: Mapping[str, Any]) -> tuple[api.Endpoint, ...]:
+def decode_ledger(fields: Mapping[str, Any]) -> tuple[api.Endpoint, ...]:
     """The entries that a `Ledger` message holds."""
-    return endpoints(_objects(fields, "members"))
+    return decode_endpoints(_objects(fields, "members"))
 
 
-def born_settings(fields: Mapping[str, Any]) -> api.Settings:
+def decode_born_settings(fields: Mapping[str, Any]) -> api.Settings:
     """The settings that a `Born` event carries."""
     raw = fields.get("settings")
     if not isinstance(raw, dict):
-        raise WireError("settings: an object is wanted")
-    return settings(raw)
+        raise DecodeError("settings: an object is wanted")
+    return decode_settings(raw)
--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -1,7 +1,7 @@
 """The balancer's interface: settings in, events in, actions out.
 
 All times are milliseconds on the caller's clock. Nothing here decides anything: the decisions are
-in brain.py, and an embedding proxy (or an adapter such as drill.py) builds these values.
+in brain.py, and an embedding proxy (or an adapter such as simulator_adapter.py) builds these values.
 """
 
 from __future__ import annotations
--- a/honeywharf/net/config.py
+++ b/honeywharf/net/config.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from honeywharf import interface as api, wire
+from honeywharf import codec, interface as api
 
 Address = tuple[str, int]
 
@@ -58,7 +58,7 @@
         raise ConfigError("NODE_CONFIG: an object is wanted")
     try:
         return _typed(raw, environ)
-    except (wire.WireError, ValueError) as fault:
+    except (codec.DecodeError, ValueError) as fault:
         raise ConfigError(f"NODE_CONFIG: {fault}") from None
 
 
@@ -75,7 +75,7 @@
         raise ValueError("limits.sockets: a whole number of at least 32 is wanted")
     report = settings.get("report")
     fields = report.get("fields") if isinstance(report, dict) else None
-    typed = wire.settings(settings)
+    typed = codec.decode_settings(settings)
     return Config(
         name=str(raw.get("name") or environ.get("NODE_NAME") or "proxy"),
         listen=address(raw.get("listen") or environ.get("NODE_LISTEN")),
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from honeywharf import interface as api, wire
+from honeywharf import codec, interface as api
 from honeywharf.__main__ import Proxy
 from honeywharf.net import config, http1
 from honeywharf.net.calls import Call
@@ -185,7 +185,7 @@
     }
     return config.Config(
         name="n", listen=("127.0.0.1", 0), discovery=("127.0.0.1", port), seed=7, sockets=sockets,
-        known={"generation": 1, "reset": True, "instances": rows}, settings=wire.settings(settings),
+        known={"generation": 1, "reset": True, "instances": rows}, settings=codec.decode_settings(settings),
         report_fields=tuple(settings["report"]["fields"]),
     )
 
--- a/tests/test_wire.py
+++ b/tests/test_codec.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from honeywharf import interface as api, wire
+from honeywharf import codec, interface as api
 
 RAW: dict[str, Any] = {
     "bounds": {
@@ -38,7 +38,7 @@
 
 
 def test_every_setting_is_handed_on() -> None:
-    assert wire.settings(RAW) == api.Settings(
+    assert codec.decode_settings(RAW) == api.Settings(
         zone="a", zones=2, zone_names=("a", "b"), tier=1, tiers=2, tier_names=("t", "u"), balancers=10, me=3,
         tick_ms=5.0, domain="chain", kinds=("fast", "slow"), sizes=api.Sizes.ROUGH, by_work=True,
         polled_discovery=True, passes_deadline=True, warm_keys=True, clients_mark_retries=True,
@@ -63,7 +63,7 @@
 
 
 def test_absent_settings_take_defaults_and_unknown_ones_are_passed_over() -> None:
-    bare = wire.settings({
+    bare = codec.decode_settings({
         "zone": "a", "novelty": 1,
         "profiles": [{"name": "c", "aimMs": 1, "deadlineMs": 2, "idempotency": "once"}]})
     assert bare == api.Settings(
@@ -88,13 +88,13 @@
     ("Expired", {"ref": "q"}, api.RequestExpired("q")),
 ])
 def test_every_event_field_is_handed_on(name: str, fields: dict[str, Any], event: api.Event) -> None:
-    assert wire.EVENTS[name](fields) == event
+    assert codec.EVENT_DECODERS[name](fields) == event
 
 
 def test_endpoints_come_whole() -> None:
     row = {"familyType": "fast", "nominal": 1.5, "bay": 2, "locality": "b", "status": "draining",
            "backend": "x", "upSinceMs": 6100.0}
-    assert wire.endpoints([row]) == (
+    assert codec.decode_endpoints([row]) == (
         api.Endpoint("x", "b", api.EndpointState.DRAINING, 2, 6100.0, 1.5, "fast"),)
 
 
@@ -104,8 +104,8 @@
     ({"bounds": {"mostTries": "4"}}, "mostTries"), ({"goal": []}, "goal"),
 ])
 def test_wrong_types_are_named(change: dict[str, Any], fault: str) -> None:
-    with pytest.raises(wire.WireError, match=fault):
-        wire.settings({**RAW, **change})
+    with pytest.raises(codec.DecodeError, match=fault):
+        codec.decode_settings({**RAW, **change})
 
 
 @pytest.mark.parametrize(("change", "fault"), [
@@ -115,4 +115,4 @@
 ])
 def test_contradictory_settings_are_refused_by_name(change: dict[str, Any], fault: str) -> None:
     with pytest.raises(ValueError, match=fault):
-        wire.settings({**RAW, **change})
+        codec.decode_settings({**RAW, **change})
--- a/tests/test_drill.py
+++ b/tests/test_simulator_adapter.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from honeywharf import drill, interface as api
+from honeywharf import interface as api, simulator_adapter
 
 ROOT = Path(__file__).parent.parent
 SETTINGS: dict[str, Any] = {
@@ -43,8 +43,8 @@
 
 def run(*lines: str) -> subprocess.CompletedProcess[str]:
     return subprocess.run(
-        [sys.executable, "-m", "honeywharf.drill"], input="".join(x + "\n" for x in lines), cwd=ROOT,
-        capture_output=True, text=True, timeout=30, check=False,
+        [sys.executable, "-m", "honeywharf.simulator_adapter"], input="".join(x + "\n" for x in lines),
+        cwd=ROOT, capture_output=True, text=True, timeout=30, check=False,
     )
 
 
@@ -90,14 +90,14 @@
 
 
 def test_a_broken_decision_is_told(monkeypatch: pytest.MonkeyPatch) -> None:
-    host = drill.Host()
-    host.batch(json.loads(batch(1, born(), LEDGER, member())))
+    adapter = simulator_adapter.SimulatorAdapter()
+    adapter.handle_batch(json.loads(batch(1, born(), LEDGER, member())))
 
     def broken(now: float, event: api.Event) -> list[api.Action]:
         raise KeyError("gone")
 
-    monkeypatch.setattr(host.balancers[0], "handle", broken)
-    reply = host.batch(json.loads(batch(2, item("r"))))
+    monkeypatch.setattr(adapter.balancers[0], "handle", broken)
+    reply = adapter.handle_batch(json.loads(batch(2, item("r"))))
     assert reply["output"] == [{"Panic": {"who": 0, "words": "KeyError: 'gone'"}}]
 
 
