--- a/honeywharf/codec.py
+++ b/honeywharf/codec.py
@@ -1,4 +1,7 @@
-"""The wire's names and forms: one JSON value a line, turned into the interface's types and back."""
+"""Decodes the JSON of the settings and of the simulator's events, and encodes actions as JSON.
+
+The proxy's configuration file holds the same settings object as the simulator's `Born` event.
+"""
 
 from __future__ import annotations
 
@@ -7,14 +10,15 @@
 
 from honeywharf import interface as api
 
-Fields = dict[str, Any]
+JsonObject = dict[str, Any]
 
 
 class DecodeError(Exception):
-    """A line that is not what the wire allows."""
+    """A message or a settings object is malformed, for example because a field has the wrong type."""
 
 
-OUTCOMES = {
+#: Values of the field `how` of `Ended` and `Probed` events.
+OUTCOME_BY_CODE = {
     200: api.Outcome.OK,
     500: api.Outcome.ERROR,
     503: api.Outcome.REJECTED,
@@ -24,329 +28,382 @@
     499: api.Outcome.CANCELLED,
     410: api.Outcome.NOT_SENT,
 }
-LIST_KINDS = {
-    "D": api.ListKind.CHANGES, "F": api.ListKind.FULL, "C": api.ListKind.CACHED, "X": api.ListKind.FAILED,
+#: Values of the field `kind` of `Membership` events.
+LIST_KIND_BY_CODE = {
+    "D": api.ListKind.CHANGES,
+    "F": api.ListKind.FULL,
+    "C": api.ListKind.CACHED,
+    "X": api.ListKind.FAILED,
 }
-STATES = {
+#: Values of the field `status` of an entry of an endpoint list.
+ENDPOINT_STATE_BY_NAME = {
     "ready": api.EndpointState.READY,
     "draining": api.EndpointState.DRAINING,
     "gone": api.EndpointState.GONE,
 }
-EFFECTS = {
-    "repeatable": api.Effect.REPEATABLE, "by_key": api.Effect.KEYED, "once": api.Effect.ONCE,
+#: Values of the setting `idempotency` of a request class.
+EFFECT_BY_NAME = {
+    "repeatable": api.Effect.REPEATABLE,
+    "by_key": api.Effect.KEYED,
+    "once": api.Effect.ONCE,
+}
+#: Values of the setting `group` of a request class.
+DEDUPE_SCOPE_BY_NAME = {
+    "all": api.DedupeScope.ALL,
+    "zone": api.DedupeScope.ZONE,
+    "cell": api.DedupeScope.CELL,
+}
+#: Values of the setting `how` in the group `report`.
+REPORTS_BY_NAME = {
+    "piggyback": api.Reports.WITH_ANSWERS,
+    "pull": api.Reports.BY_PROBE,
+    "silent": api.Reports.NONE,
 }
-SCOPES = {"all": api.DedupeScope.ALL, "zone": api.DedupeScope.ZONE, "cell": api.DedupeScope.CELL}
-REPORTS = {"piggyback": api.Reports.WITH_ANSWERS, "pull": api.Reports.BY_PROBE, "silent": api.Reports.NONE}
-SIZES = {
-    "silent": api.Sizes.NONE, "nominal": api.Sizes.REGISTERED, "rough": api.Sizes.ROUGH,
+#: Values of the setting `weightSource`.
+SIZES_BY_NAME = {
+    "silent": api.Sizes.NONE,
+    "nominal": api.Sizes.REGISTERED,
+    "rough": api.Sizes.ROUGH,
     "live": api.Sizes.LIVE,
 }
-REPORT_FIELDS = {
-    "busy_reqs": "in_flight", "pending": "queue", "cpu_share": "utilization", "svc_ms": "service_ms",
-    "served_ps": "served_per_s", "failed_ps": "errors_per_s",
+#: Names of load report fields in the settings, mapped to the names that the balancer uses.
+REPORT_FIELD_BY_NAME = {
+    "busy_reqs": "in_flight",
+    "pending": "queue",
+    "cpu_share": "utilization",
+    "svc_ms": "service_ms",
+    "served_ps": "served_per_s",
+    "failed_ps": "errors_per_s",
 }
 
-_MISSING = object()
+#: Default that marks a field as required.
+_REQUIRED = object()
 
 
-def _number(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> float:
+# Each of these functions reads one field. A field whose value is null is treated as absent.
+
+
+def _number(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> float:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return float(default)
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise DecodeError(f"{name}: a number is wanted, not {value!r}")
+        raise DecodeError(f"{name} must be a number, not {value!r}")
     return float(value)
 
 
-def _integer(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
+def _integer(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> int:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return int(default)
     if isinstance(value, bool) or not isinstance(value, int):
-        raise DecodeError(f"{name}: a whole number is wanted, not {value!r}")
+        raise DecodeError(f"{name} must be an integer, not {value!r}")
     return value
 
 
-def _text(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> str:
+def _string(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> str:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return str(default)
     if not isinstance(value, str):
-        raise DecodeError(f"{name}: text is wanted, not {value!r}")
+        raise DecodeError(f"{name} must be a string, not {value!r}")
     return value
 
 
-def _flag(fields: Mapping[str, Any], name: str) -> bool:
+def _boolean(fields: Mapping[str, Any], name: str) -> bool:
     value = fields.get(name)
     if value is None:
         return False
     if not isinstance(value, bool):
-        raise DecodeError(f"{name}: true or false is wanted, not {value!r}")
+        raise DecodeError(f"{name} must be a boolean, not {value!r}")
     return value
 
 
-def _choice(table: Mapping[Any, Any], fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> Any:
+def _enum_value(
+    table: Mapping[Any, Any], fields: Mapping[str, Any], name: str, default: Any = _REQUIRED,
+) -> Any:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return default
     if isinstance(value, bool) or not isinstance(value, str | int) or value not in table:
         raise DecodeError(f"{name}: unknown value {value!r}")
     return table[value]
 
 
-def _object(fields: Mapping[str, Any], name: str) -> Fields:
+def _object(fields: Mapping[str, Any], name: str) -> JsonObject:
     value = fields.get(name)
     if value is None:
         return {}
     if not isinstance(value, dict):
-        raise DecodeError(f"{name}: an object is wanted, not {value!r}")
+        raise DecodeError(f"{name} must be an object, not {value!r}")
     return value
 
 
-def _objects(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> list[Fields]:
+def _object_list(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> list[JsonObject]:
     value = fields.get(name)
-    if value is None and default is not _MISSING:
+    if value is None and default is not _REQUIRED:
         return list(default)
     if not isinstance(value, list) or not all(isinstance(item, dict) for item in value):
-        raise DecodeError(f"{name}: a list of objects is wanted")
+        raise DecodeError(f"{name} must be an array of objects")
     return value
 
 
-def _texts(fields: Mapping[str, Any], name: str) -> tuple[str, ...]:
+def _string_list(fields: Mapping[str, Any], name: str) -> tuple[str, ...]:
     value = fields.get(name)
     if value is None:
         return ()
     if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-        raise DecodeError(f"{name}: a list of texts is wanted, not {value!r}")
+        raise DecodeError(f"{name} must be an array of strings, not {value!r}")
     return tuple(value)
 
 
-def _report(fields: Mapping[str, Any]) -> tuple[float, ...] | None:
+def _load_report(fields: Mapping[str, Any]) -> tuple[float, ...] | None:
     value = fields.get("metrics")
     if value is None:
         return None
     if not isinstance(value, list):
-        raise DecodeError(f"metrics: a row is wanted, not {value!r}")
+        raise DecodeError(f"metrics must be an array of numbers, not {value!r}")
     for item in value:
         if isinstance(item, bool) or not isinstance(item, int | float):
-            raise DecodeError(f"metrics: numbers are wanted, not {item!r}")
+            raise DecodeError(f"metrics must contain only numbers, not {item!r}")
     return tuple(value)
 
 
-def decode_settings(raw: Fields) -> api.Settings:
-    """The settings of a `Born` event."""
-    report, family = _object(raw, "report"), _object(raw, "familyInfo")
-    tiers, zones = _texts(raw, "tiers"), _texts(raw, "zones")
+def decode_settings(fields: JsonObject) -> api.Settings:
+    """Decode a settings object, from the configuration file or from a `Born` event."""
+    report, family = _object(fields, "report"), _object(fields, "familyInfo")
+    tiers, zones = _string_list(fields, "tiers"), _string_list(fields, "zones")
     return api.Settings(
-        zone=_text(raw, "zone"),
+        zone=_string(fields, "zone"),
         zones=max(1, len(zones)),
         zone_names=zones,
-        tier=_integer(raw, "tier", 0),
+        tier=_integer(fields, "tier", 0),
         tiers=max(1, len(tiers)),
         tier_names=tiers,
-        balancers=_integer(raw, "nInstances", 1),
-        me=_integer(raw, "me", 0),
-        tick_ms=_number(raw, "quantumMs", 0.0),
-        domain=_text(raw, "domainType", ""),
-        kinds=_texts(raw, "models"),
-        sizes=_choice(SIZES, raw, "weightSource", api.Sizes.REGISTERED),
-        by_work=_text(raw, "countedBy", "request") == "work",
-        polled_discovery=_text(raw, "discovery", "push") == "ask",
-        passes_deadline=_flag(family, "passesDeadline"),
-        warm_keys=_flag(family, "warmKeys"),
-        clients_mark_retries=_flag(_object(raw, "clients"), "marksRetry"),
-        over_share_worth=_number(raw, "overShareWorth", 1.0),
-        report_fields=tuple(REPORT_FIELDS.get(name, name) for name in _texts(report, "fields")),
-        reports=_choice(REPORTS, report, "how", api.Reports.NONE),
-        classes=tuple(_request_class(c) for c in _objects(raw, "profiles")),
+        balancers=_integer(fields, "nInstances", 1),
+        me=_integer(fields, "me", 0),
+        tick_ms=_number(fields, "quantumMs", 0.0),
+        domain=_string(fields, "domainType", ""),
+        kinds=_string_list(fields, "models"),
+        sizes=_enum_value(SIZES_BY_NAME, fields, "weightSource", api.Sizes.REGISTERED),
+        by_work=_string(fields, "countedBy", "request") == "work",
+        polled_discovery=_string(fields, "discovery", "push") == "ask",
+        passes_deadline=_boolean(family, "passesDeadline"),
+        warm_keys=_boolean(family, "warmKeys"),
+        clients_mark_retries=_boolean(_object(fields, "clients"), "marksRetry"),
+        over_share_worth=_number(fields, "overShareWorth", 1.0),
+        report_fields=tuple(REPORT_FIELD_BY_NAME.get(name, name) for name in _string_list(report, "fields")),
+        reports=_enum_value(REPORTS_BY_NAME, report, "how", api.Reports.NONE),
+        classes=tuple(_decode_request_class(profile) for profile in _object_list(fields, "profiles")),
         tenants=tuple(
-            api.Tenant(_text(t, "name"), _number(t, "quotaPerS", 0.0), _number(t, "portion", 0.0))
-            for t in _objects(raw, "parties", ())
+            api.Tenant(
+                _string(party, "name"), _number(party, "quotaPerS", 0.0), _number(party, "portion", 0.0))
+            for party in _object_list(fields, "parties", ())
         ),
-        limits=_limits(_object(raw, "bounds")),
-        rules=_rules(_object(raw, "contract")),
-        prices=_prices(_object(raw, "prices")),
-        goal=_goal(_object(raw, "goal")),
+        limits=_decode_limits(_object(fields, "bounds")),
+        rules=_decode_rules(_object(fields, "contract")),
+        prices=_decode_prices(_object(fields, "prices")),
+        goal=_decode_goal(_object(fields, "goal")),
     )
 
 
-def _request_class(raw: Fields) -> api.RequestClass:
+def _decode_request_class(fields: JsonObject) -> api.RequestClass:
     return api.RequestClass(
-        name=_text(raw, "name"),
-        aim_ms=_number(raw, "aimMs"),
-        deadline_ms=_number(raw, "deadlineMs"),
-        effect=_choice(EFFECTS, raw, "idempotency"),
-        scope=_choice(SCOPES, raw, "group", api.DedupeScope.ALL),
-        window_ms=_number(raw, "windowMs", 0.0),
-        worth=_number(raw, "worth", 1.0),
-        late_value=_number(raw, "lateValue", 0.0),
-        in_order=_flag(raw, "fifoByKey"),
-        stream=_flag(raw, "stream"),
-        aim_stretch=_number(raw, "aimStretch", 0.0),
+        name=_string(fields, "name"),
+        aim_ms=_number(fields, "aimMs"),
+        deadline_ms=_number(fields, "deadlineMs"),
+        effect=_enum_value(EFFECT_BY_NAME, fields, "idempotency"),
+        scope=_enum_value(DEDUPE_SCOPE_BY_NAME, fields, "group", api.DedupeScope.ALL),
+        window_ms=_number(fields, "windowMs", 0.0),
+        worth=_number(fields, "worth", 1.0),
+        late_value=_number(fields, "lateValue", 0.0),
+        in_order=_boolean(fields, "fifoByKey"),
+        stream=_boolean(fields, "stream"),
+        aim_stretch=_number(fields, "aimStretch", 0.0),
     )
 
 
-def _limits(raw: Fields) -> api.Limits:
+def _decode_limits(fields: JsonObject) -> api.Limits:
     return api.Limits(
-        max_attempts=_integer(raw, "mostTries", 1),
-        concurrent_attempts=_flag(raw, "secondCopies"),
-        cancel=_flag(raw, "cancel"),
-        probes=_flag(raw, "probes"),
-        retry_after=_flag(raw, "retryAfter"),
-        max_retry_after_ms=_number(raw, "maxRetryAfterMs", 0.0),
-        peer_messages=_flag(raw, "peerMessages"),
-        max_open=_integer(raw, "openCap", 0),
-        streams=_integer(raw, "multiplex", 1),
-        idle_ms=_number(raw, "connIdleMs", 0.0),
-        connect_timeout_ms=_number(raw, "connectTimeoutMs", 0.0),
-        cpu_us_per_s=_number(raw, "cpuUsPerS", 0.0),
-        cpu_us_per_request=_number(raw, "cpuUsPerRequest", 0.0),
+        max_attempts=_integer(fields, "mostTries", 1),
+        concurrent_attempts=_boolean(fields, "secondCopies"),
+        cancel=_boolean(fields, "cancel"),
+        probes=_boolean(fields, "probes"),
+        retry_after=_boolean(fields, "retryAfter"),
+        max_retry_after_ms=_number(fields, "maxRetryAfterMs", 0.0),
+        peer_messages=_boolean(fields, "peerMessages"),
+        max_open=_integer(fields, "openCap", 0),
+        streams=_integer(fields, "multiplex", 1),
+        idle_ms=_number(fields, "connIdleMs", 0.0),
+        connect_timeout_ms=_number(fields, "connectTimeoutMs", 0.0),
+        cpu_us_per_s=_number(fields, "cpuUsPerS", 0.0),
+        cpu_us_per_request=_number(fields, "cpuUsPerRequest", 0.0),
     )
 
 
-def _rules(raw: Fields) -> api.Rules:
+def _decode_rules(fields: JsonObject) -> api.Rules:
     return api.Rules(
-        answer_grace_ms=_number(raw, "graceToAnswerMs", 0.0),
-        drain_grace_ms=_number(raw, "stopSendingWithinMs", 1000.0),
-        cold_share=_number(raw, "coldShare", 1.0),
-        warm_after_ms=_number(raw, "warmAfterMs", 0.0),
-        cold_multiple=_number(raw, "tipMultiple", 3.0),
-        cold_window_ms=_number(raw, "overloadForMs", 2000.0),
-        ask_every_ms=_number(raw, "askEveryMs", 10000.0),
-        turn_gap_ms=_number(raw, "turnGapMs", 0.0),
+        answer_grace_ms=_number(fields, "graceToAnswerMs", 0.0),
+        drain_grace_ms=_number(fields, "stopSendingWithinMs", 1000.0),
+        cold_share=_number(fields, "coldShare", 1.0),
+        warm_after_ms=_number(fields, "warmAfterMs", 0.0),
+        cold_multiple=_number(fields, "tipMultiple", 3.0),
+        cold_window_ms=_number(fields, "overloadForMs", 2000.0),
+        ask_every_ms=_number(fields, "askEveryMs", 10000.0),
+        turn_gap_ms=_number(fields, "turnGapMs", 0.0),
     )
 
 
-def _prices(raw: Fields) -> api.Prices:
+def _decode_prices(fields: JsonObject) -> api.Prices:
     return api.Prices(
-        cross_zone=_number(raw, "crossZone", 0.0),
-        waste=_number(raw, "waste", 0.0),
-        late_fail=_number(raw, "lateFail", 0.0),
-        probe=_number(raw, "probe", 0.0),
-        handshake=_number(raw, "handshake", 0.0),
-        connection=_number(raw, "connection", 0.0),
-        discovery=_number(raw, "discovery", 0.0),
-        fleet=_number(raw, "fleet", 0.0),
-        moves=_number(raw, "moves", 0.0),
-        origin=_number(raw, "origin", 0.0),
-        peer=_number(raw, "peer", 0.0),
+        cross_zone=_number(fields, "crossZone", 0.0),
+        waste=_number(fields, "waste", 0.0),
+        late_fail=_number(fields, "lateFail", 0.0),
+        probe=_number(fields, "probe", 0.0),
+        handshake=_number(fields, "handshake", 0.0),
+        connection=_number(fields, "connection", 0.0),
+        discovery=_number(fields, "discovery", 0.0),
+        fleet=_number(fields, "fleet", 0.0),
+        moves=_number(fields, "moves", 0.0),
+        origin=_number(fields, "origin", 0.0),
+        peer=_number(fields, "peer", 0.0),
     )
 
 
-def _goal(raw: Fields) -> api.Goal:
+def _decode_goal(fields: JsonObject) -> api.Goal:
     return api.Goal(
-        whole=_number(raw, "whole", 1.0),
-        worst_window=_number(raw, "worstWindow", 0.0),
-        worst_class=_number(raw, "worstClass", 0.0),
-        worst_tenant=_number(raw, "worstTenant", 0.0),
+        whole=_number(fields, "whole", 1.0),
+        worst_window=_number(fields, "worstWindow", 0.0),
+        worst_class=_number(fields, "worstClass", 0.0),
+        worst_tenant=_number(fields, "worstTenant", 0.0),
     )
 
 
-def decode_endpoints(rows: list[Fields]) -> tuple[api.Endpoint, ...]:
-    """The entries of a `Ledger`."""
+def decode_endpoints(entries: list[JsonObject]) -> tuple[api.Endpoint, ...]:
+    """Decode the entries of an endpoint list."""
     return tuple(
         api.Endpoint(
-            id=_text(row, "backend"),
-            zone=_text(row, "locality", ""),
-            state=_choice(STATES, row, "status"),
-            cell=_integer(row, "bay", 0),
-            started_ms=_number(row, "upSinceMs", 0.0) or None,
-            size=_number(row, "nominal", 1.0),
-            kind=_text(row, "familyType", ""),
+            id=_string(entry, "backend"),
+            zone=_string(entry, "locality", ""),
+            state=_enum_value(ENDPOINT_STATE_BY_NAME, entry, "status"),
+            cell=_integer(entry, "bay", 0),
+            started_ms=_number(entry, "upSinceMs", 0.0) or None,
+            size=_number(entry, "nominal", 1.0),
+            kind=_string(entry, "familyType", ""),
         )
-        for row in rows
+        for entry in entries
     )
 
 
-def _arrived(f: Fields) -> api.Event:
-    tenant = f.get("team")
+def _decode_request_arrived(fields: JsonObject) -> api.Event:
+    tenant = fields.get("team")
     return api.RequestArrived(
-        _text(f, "ref"), _text(f, "kind"), _number(f, "remainingMs"),
-        tenant if isinstance(tenant, str) else "", _flag(f, "resent"), _text(f, "entity", ""),
-        _flag(f, "isWrite"), _number(f, "workHintMs") if f.get("workHintMs") is not None else None,
+        _string(fields, "ref"),
+        _string(fields, "kind"),
+        _number(fields, "remainingMs"),
+        tenant if isinstance(tenant, str) else "",
+        _boolean(fields, "resent"),
+        _string(fields, "entity", ""),
+        _boolean(fields, "isWrite"),
+        _number(fields, "workHintMs") if fields.get("workHintMs") is not None else None,
     )
 
 
-def _opened(f: Fields) -> api.Event:
+def _decode_attempt_opened(fields: JsonObject) -> api.Event:
     return api.AttemptOpened(
-        _text(f, "ref"), _integer(f, "shot"), _text(f, "backend", ""), _number(f, "waitTimeMs", 0.0))
+        _string(fields, "ref"),
+        _integer(fields, "shot"),
+        _string(fields, "backend", ""),
+        _number(fields, "waitTimeMs", 0.0),
+    )
 
 
-def _mail(f: Fields) -> api.Event:
+def _decode_peer_message(fields: JsonObject) -> api.Event:
     try:
-        payload = bytes.fromhex(_text(f, "bytes", ""))
+        payload = bytes.fromhex(_string(fields, "bytes", ""))
     except ValueError:
-        raise DecodeError(f"bytes: hex digits are wanted, not {f['bytes']!r}") from None
-    return api.PeerMessage(_integer(f, "sender"), payload)
+        raise DecodeError(f"bytes must be hexadecimal digits, not {fields['bytes']!r}") from None
+    return api.PeerMessage(_integer(fields, "sender"), payload)
 
 
-def _ended(f: Fields) -> api.Event:
+def _decode_attempt_ended(fields: JsonObject) -> api.Event:
     return api.AttemptEnded(
-        _text(f, "ref"), _integer(f, "shot"), _choice(OUTCOMES, f, "how"), _number(f, "waitTimeMs"),
-        _flag(f, "complete"), _report(f), _text(f, "backend", ""),
+        _string(fields, "ref"),
+        _integer(fields, "shot"),
+        _enum_value(OUTCOME_BY_CODE, fields, "how"),
+        _number(fields, "waitTimeMs"),
+        _boolean(fields, "complete"),
+        _load_report(fields),
+        _string(fields, "backend", ""),
     )
 
 
-def _probed(f: Fields) -> api.Event:
-    outcome = _choice(OUTCOMES, f, "how")
-    return api.ProbeEnded(_text(f, "backend"), outcome, _number(f, "waitTimeMs"), _report(f))
+def _decode_probe_ended(fields: JsonObject) -> api.Event:
+    outcome = _enum_value(OUTCOME_BY_CODE, fields, "how")
+    return api.ProbeEnded(
+        _string(fields, "backend"), outcome, _number(fields, "waitTimeMs"), _load_report(fields))
 
 
-#: Events that concern a running instance and need nothing but their own fields.
-EVENT_DECODERS: dict[str, Callable[[Fields], api.Event]] = {
-    "WorkItem": _arrived,
-    "Ended": _ended,
-    "Opened": _opened,
-    "Expired": lambda f: api.RequestExpired(_text(f, "ref")),
-    "Wake": lambda f: api.TimerFired(_text(f, "ctx")),
-    "Probed": _probed,
-    "Mail": _mail,
+#: Decoders of the events that are passed to a running balancer as they are, by the name of the event.
+#: The simulator adapter handles `Ledger`, `Membership`, `Born` and `Exit` itself, because they depend on its
+#: endpoint lists or start and stop a balancer.
+EVENT_DECODERS: dict[str, Callable[[JsonObject], api.Event]] = {
+    "WorkItem": _decode_request_arrived,
+    "Ended": _decode_attempt_ended,
+    "Opened": _decode_attempt_opened,
+    "Expired": lambda fields: api.RequestExpired(_string(fields, "ref")),
+    "Wake": lambda fields: api.TimerFired(_string(fields, "ctx")),
+    "Probed": _decode_probe_ended,
+    "Mail": _decode_peer_message,
 }
 
-#: What each action looks like on the wire; {"who": instance} is added.
-ACTION_ENCODERS: dict[type, tuple[str, Callable[[Any], Fields]]] = {
+#: The name of each action and an encoder of its fields. The simulator adapter adds the field `who`.
+ACTION_ENCODERS: dict[type, tuple[str, Callable[[Any], JsonObject]]] = {
     api.Send: (
-        "Transmit", lambda a: {"ref": a.request, "timeoutMs": a.timeout_ms, "backend": a.endpoint},
+        "Transmit",
+        lambda action: {
+            "ref": action.request, "timeoutMs": action.timeout_ms, "backend": action.endpoint,
+        },
     ),
-    api.Cancel: ("DropAttempt", lambda a: {"ref": a.request, "shot": a.attempt}),
+    api.Cancel: ("DropAttempt", lambda action: {"ref": action.request, "shot": action.attempt}),
     api.Refuse: (
         "Deny",
-        lambda a: {"ref": a.request, "comeBackMs": a.retry_after_ms or None},
+        lambda action: {"ref": action.request, "comeBackMs": action.retry_after_ms or None},
     ),
-    api.Fail: ("RespondError", lambda a: {"ref": a.request}),
-    api.Probe: ("Inspect", lambda a: {"backend": a.endpoint}),
-    api.SetTimer: ("WakeMe", lambda a: {"fireAtMs": a.at_ms, "ctx": a.token}),
-    api.WatchEndpoints: ("Observe", lambda a: {"want": True}),
-    api.FetchEndpoints: ("Fetch", lambda a: {}),
-    api.CloseIdle: ("LetGo", lambda a: {"backend": a.endpoint}),
-    api.Log: ("SayLog", lambda a: {"words": a.words}),
+    api.Fail: ("RespondError", lambda action: {"ref": action.request}),
+    api.Probe: ("Inspect", lambda action: {"backend": action.endpoint}),
+    api.SetTimer: ("WakeMe", lambda action: {"fireAtMs": action.at_ms, "ctx": action.token}),
+    api.WatchEndpoints: ("Observe", lambda action: {"want": True}),
+    api.FetchEndpoints: ("Fetch", lambda action: {}),
+    api.CloseIdle: ("LetGo", lambda action: {"backend": action.endpoint}),
+    api.Log: ("SayLog", lambda action: {"words": action.words}),
 }
 
 
-def integer_field(fields: Mapping[str, Any], name: str, default: Any = _MISSING) -> int:
-    """A whole number of a message, required where no default is given."""
+def integer_field(fields: Mapping[str, Any], name: str, default: Any = _REQUIRED) -> int:
+    """Return an integer field, which is required unless a default is given."""
     return _integer(fields, name, default)
 
 
 def number_field(fields: Mapping[str, Any], name: str) -> float:
-    """A required number of a message."""
+    """Return a required number field."""
     return _number(fields, name)
 
 
 def decode_list_kind(fields: Mapping[str, Any]) -> api.ListKind:
-    """The kind of a `Membership` event."""
-    kind: api.ListKind = _choice(LIST_KINDS, fields, "kind")
+    """Decode the kind of a `Membership` event."""
+    kind: api.ListKind = _enum_value(LIST_KIND_BY_CODE, fields, "kind")
     return kind
 
 
 def decode_ledger(fields: Mapping[str, Any]) -> tuple[api.Endpoint, ...]:
-    """The entries that a `Ledger` message holds."""
-    return decode_endpoints(_objects(fields, "members"))
+    """Decode the endpoint list that a `Ledger` event carries."""
+    return decode_endpoints(_object_list(fields, "members"))
 
 
 def decode_born_settings(fields: Mapping[str, Any]) -> api.Settings:
-    """The settings that a `Born` event carries."""
-    raw = fields.get("settings")
-    if not isinstance(raw, dict):
-        raise DecodeError("settings: an object is wanted")
-    return decode_settings(raw)
+    """Decode the settings that a `Born` event carries."""
+    settings = fields.get("settings")
+    if not isinstance(settings, dict):
+        raise DecodeError("settings must be an object")
+    return decode_settings(settings)
--- a/honeywharf/simulator_adapter.py
+++ b/honeywharf/simulator_adapter.py
@@ -1,6 +1,8 @@
-"""Host for many balancers on the wire: batches on standard input, replies on standard output.
+"""Adapter through which many balancers run in the simulator.
 
-It turns wire messages into events and actions into wire messages. It decides nothing.
+It reads one batch of events per line from standard input, and answers each with one line on standard output
+that holds the balancers' actions. Each line is a JSON object. The adapter only converts between JSON and the
+types of `interface.py`; the balancers make all decisions.
 """
 
 from __future__ import annotations
@@ -15,7 +17,11 @@
 
 
 class SimulatorAdapter:
-    """The instances of one process. They share nothing but the lists the wire shares."""
+    """Holds the balancers of one process and passes events to them.
+
+    The balancers share nothing but the endpoint lists: the simulator sends a list once, in a `Ledger` event,
+    and `Membership` events of several balancers may refer to it by its page number.
+    """
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
@@ -23,87 +29,94 @@
         self.round = 0
 
     def handle_batch(self, message: Any) -> dict[str, Any]:
-        """Answer one batch."""
+        """Pass the events of a batch to their balancers and return the reply with the resulting actions."""
         if not isinstance(message, dict):
-            raise codec.DecodeError("a batch is an object")
+            raise codec.DecodeError("a batch must be an object")
         self.round = codec.integer_field(message, "round")
-        now, events = codec.number_field(message, "tMs"), message.get("arrivals")
+        now_ms, events = codec.number_field(message, "tMs"), message.get("arrivals")
         if not isinstance(events, list):
-            raise codec.DecodeError("arrivals: a list is wanted")
+            raise codec.DecodeError("arrivals must be an array")
         output: list[dict[str, Any]] = []
         for event in events:
             if not isinstance(event, dict) or len(event) != 1:
-                raise codec.DecodeError("an event is an object with one key, its name")
+                raise codec.DecodeError("an event must be an object with one key, its name")
             name, fields = next(iter(event.items()))
             if not isinstance(fields, dict):
-                raise codec.DecodeError(f"{name}: its fields are an object")
+                raise codec.DecodeError(f"{name}: the fields must be an object")
             try:
-                self._event(now, name, fields, output)
-            except codec.DecodeError as fault:
-                raise codec.DecodeError(f"{name}: {fault}") from None
+                self._handle_event(now_ms, name, fields, output)
+            except codec.DecodeError as error:
+                raise codec.DecodeError(f"{name}: {error}") from None
         return {"round": self.round, "output": output}
 
-    def _event(self, now: float, name: str, fields: dict[str, Any], output: list[dict[str, Any]]) -> None:
+    def _handle_event(
+        self, now_ms: float, name: str, fields: dict[str, Any], output: list[dict[str, Any]],
+    ) -> None:
         if name == "Ledger":
             self.endpoint_lists[codec.integer_field(fields, "page")] = codec.decode_ledger(fields)
             return
-        who = codec.integer_field(fields, "who")
+        balancer_id = codec.integer_field(fields, "who")
         decode = codec.EVENT_DECODERS.get(name)
         if decode is not None:
-            self._handle(now, who, decode(fields), output)
+            self._notify(now_ms, balancer_id, decode(fields), output)
         elif name == "Membership":
-            self._handle(now, who, self._listed(fields), output)
+            self._notify(now_ms, balancer_id, self._decode_membership(fields), output)
         elif name == "Born":
-            self._born(now, who, fields, output)
+            self._start_balancer(now_ms, balancer_id, fields, output)
         elif name == "Exit":
-            self.balancers.pop(who, None)
+            self.balancers.pop(balancer_id, None)
         else:
             raise codec.DecodeError("unknown event")
 
-    def _born(self, now: float, who: int, fields: dict[str, Any], output: list[dict[str, Any]]) -> None:
+    def _start_balancer(
+        self, now_ms: float, balancer_id: int, fields: dict[str, Any], output: list[dict[str, Any]],
+    ) -> None:
         seed = codec.integer_field(fields, "prng")
         try:
-            self.balancers[who] = Balancer(codec.decode_born_settings(fields), seed)
-        except ValueError as fault:
-            raise codec.DecodeError(str(fault)) from None
-        self._handle(now, who, api.Started(), output)
+            self.balancers[balancer_id] = Balancer(codec.decode_born_settings(fields), seed)
+        except ValueError as error:
+            raise codec.DecodeError(str(error)) from None
+        self._notify(now_ms, balancer_id, api.Started(), output)
 
-    def _listed(self, fields: dict[str, Any]) -> api.EndpointsListed:
+    def _decode_membership(self, fields: dict[str, Any]) -> api.EndpointsListed:
         kind = codec.decode_list_kind(fields)
         if kind is api.ListKind.FAILED:
             return api.EndpointsListed(kind)
         page = codec.integer_field(fields, "page")
         if page not in self.endpoint_lists:
-            raise codec.DecodeError(f"page {page} was never sent")
+            raise codec.DecodeError(f"page {page} is not defined by an earlier Ledger event")
         return api.EndpointsListed(kind, self.endpoint_lists[page], codec.integer_field(fields, "serial", 0))
 
-    def _handle(self, now: float, who: int, event: api.Event, output: list[dict[str, Any]]) -> None:
-        balancer = self.balancers.get(who)
+    def _notify(
+        self, now_ms: float, balancer_id: int, event: api.Event, output: list[dict[str, Any]],
+    ) -> None:
+        balancer = self.balancers.get(balancer_id)
         if balancer is None:
             return
         try:
-            actions = balancer.handle(now, event)
-        except Exception as fault:  # the wire wants a broken decision told, never swallowed
-            output.append({"Panic": {"who": who, "words": f"{type(fault).__name__}: {fault}"}})
+            actions = balancer.handle(now_ms, event)
+        except Exception as error:
+            # The simulator requires that every exception in a decision is reported, never swallowed.
+            output.append({"Panic": {"who": balancer_id, "words": f"{type(error).__name__}: {error}"}})
             return
         for action in actions:
             name, encode = codec.ACTION_ENCODERS[type(action)]
-            body = encode(action)
-            body["who"] = who
-            output.append({name: body})
+            fields = encode(action)
+            fields["who"] = balancer_id
+            output.append({name: fields})
 
 
 def main() -> int:
-    """Serve batches until the input ends; 1 when a line was not what the wire allows."""
+    """Handle batches until the input ends. Return the exit status: 1 on a malformed line, otherwise 0."""
     adapter = SimulatorAdapter()
     for line in sys.stdin.buffer:
         try:
             reply = adapter.handle_batch(orjson.loads(line))
-        except orjson.JSONDecodeError as fault:
-            print(f"after round {adapter.round}: malformed JSON: {fault}", file=sys.stderr)
+        except orjson.JSONDecodeError as error:
+            print(f"after round {adapter.round}: malformed JSON: {error}", file=sys.stderr)
             return 1
-        except codec.DecodeError as fault:
-            print(f"round {adapter.round}: {fault}", file=sys.stderr)
+        except codec.DecodeError as error:
+            print(f"round {adapter.round}: {error}", file=sys.stderr)
             return 1
         sys.stdout.buffer.write(orjson.dumps(reply) + b"\n")
         sys.stdout.buffer.flush()
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Every setting and event field of the wire reaches the module."""
+"""Tests that every setting and every event field is decoded, and that malformed ones are rejected by name."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from honeywharf import codec, interface as api
 
-RAW: dict[str, Any] = {
+SETTINGS: dict[str, Any] = {
     "bounds": {
         "cancel": True, "connIdleMs": 5000.0, "connectTimeoutMs": 250.0, "cpuUsPerRequest": 3.5,
         "cpuUsPerS": 900, "maxRetryAfterMs": 2000.0, "mostTries": 4, "multiplex": 2, "openCap": 77,
@@ -37,8 +37,8 @@
 }
 
 
-def test_every_setting_is_handed_on() -> None:
-    assert codec.decode_settings(RAW) == api.Settings(
+def test_every_setting_is_decoded() -> None:
+    assert codec.decode_settings(SETTINGS) == api.Settings(
         zone="a", zones=2, zone_names=("a", "b"), tier=1, tiers=2, tier_names=("t", "u"), balancers=10, me=3,
         tick_ms=5.0, domain="chain", kinds=("fast", "slow"), sizes=api.Sizes.ROUGH, by_work=True,
         polled_discovery=True, passes_deadline=True, warm_keys=True, clients_mark_retries=True,
@@ -62,14 +62,14 @@
     )
 
 
-def test_absent_settings_take_defaults_and_unknown_ones_are_passed_over() -> None:
-    bare = codec.decode_settings({
+def test_absent_settings_take_defaults_and_unknown_ones_are_ignored() -> None:
+    settings = codec.decode_settings({
         "zone": "a", "novelty": 1,
         "profiles": [{"name": "c", "aimMs": 1, "deadlineMs": 2, "idempotency": "once"}]})
-    assert bare == api.Settings(
+    assert settings == api.Settings(
         zone="a", classes=(api.RequestClass("c", 1.0, 2.0, api.Effect.ONCE),),
         limits=api.Limits(max_attempts=1), rules=api.Rules(ask_every_ms=10000.0),
-        passes_deadline=False)  # a mark that is false is left out on the wire
+        passes_deadline=False)  # Booleans that are false are left out of the JSON.
 
 
 @pytest.mark.parametrize(("name", "fields", "event"), [
@@ -87,32 +87,32 @@
     ("Wake", {"ctx": "turn"}, api.TimerFired("turn")),
     ("Expired", {"ref": "q"}, api.RequestExpired("q")),
 ])
-def test_every_event_field_is_handed_on(name: str, fields: dict[str, Any], event: api.Event) -> None:
+def test_every_event_field_is_decoded(name: str, fields: dict[str, Any], event: api.Event) -> None:
     assert codec.EVENT_DECODERS[name](fields) == event
 
 
-def test_endpoints_come_whole() -> None:
-    row = {"familyType": "fast", "nominal": 1.5, "bay": 2, "locality": "b", "status": "draining",
-           "backend": "x", "upSinceMs": 6100.0}
-    assert codec.decode_endpoints([row]) == (
+def test_every_endpoint_field_is_decoded() -> None:
+    entry = {"familyType": "fast", "nominal": 1.5, "bay": 2, "locality": "b", "status": "draining",
+             "backend": "x", "upSinceMs": 6100.0}
+    assert codec.decode_endpoints([entry]) == (
         api.Endpoint("x", "b", api.EndpointState.DRAINING, 2, 6100.0, 1.5, "fast"),)
 
 
-@pytest.mark.parametrize(("change", "fault"), [
-    ({"profiles": [{**RAW["profiles"][0], "fifoByKey": 1}]}, "fifoByKey"),
+@pytest.mark.parametrize(("changes", "message"), [
+    ({"profiles": [{**SETTINGS["profiles"][0], "fifoByKey": 1}]}, "fifoByKey"),
     ({"tiers": "t"}, "tiers"), ({"weightSource": "odd"}, "weightSource"),
     ({"bounds": {"mostTries": "4"}}, "mostTries"), ({"goal": []}, "goal"),
 ])
-def test_wrong_types_are_named(change: dict[str, Any], fault: str) -> None:
-    with pytest.raises(codec.DecodeError, match=fault):
-        codec.decode_settings({**RAW, **change})
+def test_a_malformed_setting_is_named_in_the_error(changes: dict[str, Any], message: str) -> None:
+    with pytest.raises(codec.DecodeError, match=message):
+        codec.decode_settings({**SETTINGS, **changes})
 
 
-@pytest.mark.parametrize(("change", "fault"), [
-    ({"profiles": [{**RAW["profiles"][0], "stream": True}]}, "stream cannot be in order"),
+@pytest.mark.parametrize(("changes", "message"), [
+    ({"profiles": [{**SETTINGS["profiles"][0], "stream": True}]}, "stream cannot be in order"),
     ({"zone": "z"}, "own zone is not among the zones"), ({"tier": 2}, "tier outside the tiers"),
     ({"contract": {"turnGapMs": -1.0}}, "negative turn gap"), ({"me": -1}, "own number is negative"),
 ])
-def test_contradictory_settings_are_refused_by_name(change: dict[str, Any], fault: str) -> None:
-    with pytest.raises(ValueError, match=fault):
-        codec.decode_settings({**RAW, **change})
+def test_contradictory_settings_are_rejected_with_the_reason(changes: dict[str, Any], message: str) -> None:
+    with pytest.raises(ValueError, match=message):
+        codec.decode_settings({**SETTINGS, **changes})
