--- a/honeywharf/simulator_adapter.py
+++ b/honeywharf/simulator_adapter.py
@@ -58,9 +58,9 @@
         balancer_id = codec.integer_field(fields, "who")
         decode = codec.EVENT_DECODERS.get(name)
         if decode is not None:
-            self._notify(now_ms, balancer_id, decode(fields), output)
+            self._dispatch(now_ms, balancer_id, decode(fields), output)
         elif name == "Membership":
-            self._notify(now_ms, balancer_id, self._decode_membership(fields), output)
+            self._dispatch(now_ms, balancer_id, self._decode_membership(fields), output)
         elif name == "Born":
             self._start_balancer(now_ms, balancer_id, fields, output)
         elif name == "Exit":
@@ -76,7 +76,7 @@
             self.balancers[balancer_id] = Balancer(codec.decode_born_settings(fields), seed)
         except ValueError as error:
             raise codec.DecodeError(str(error)) from None
-        self._notify(now_ms, balancer_id, api.Started(), output)
+        self._dispatch(now_ms, balancer_id, api.Started(), output)
 
     def _decode_membership(self, fields: dict[str, Any]) -> api.EndpointsListed:
         kind = codec.decode_list_kind(fields)
@@ -87,7 +87,7 @@
             raise codec.DecodeError(f"page {page} is not defined by an earlier Ledger event")
         return api.EndpointsListed(kind, self.endpoint_lists[page], codec.integer_field(fields, "serial", 0))
 
-    def _notify(
+    def _dispatch(
         self, now_ms: float, balancer_id: int, event: api.Event, output: list[dict[str, Any]],
     ) -> None:
         balancer = self.balancers.get(balancer_id)
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -98,21 +98,21 @@
         api.Endpoint("x", "b", api.EndpointState.DRAINING, 2, 6100.0, 1.5, "fast"),)
 
 
-@pytest.mark.parametrize(("changes", "message"), [
+@pytest.mark.parametrize(("changes", "expected_error"), [
     ({"profiles": [{**SETTINGS["profiles"][0], "fifoByKey": 1}]}, "fifoByKey"),
     ({"tiers": "t"}, "tiers"), ({"weightSource": "odd"}, "weightSource"),
     ({"bounds": {"mostTries": "4"}}, "mostTries"), ({"goal": []}, "goal"),
 ])
-def test_a_malformed_setting_is_named_in_the_error(changes: dict[str, Any], message: str) -> None:
-    with pytest.raises(codec.DecodeError, match=message):
+def test_a_malformed_setting_is_named_in_the_error(changes: dict[str, Any], expected_error: str) -> None:
+    with pytest.raises(codec.DecodeError, match=expected_error):
         codec.decode_settings({**SETTINGS, **changes})
 
 
-@pytest.mark.parametrize(("changes", "message"), [
+@pytest.mark.parametrize(("changes", "expected_error"), [
     ({"profiles": [{**SETTINGS["profiles"][0], "stream": True}]}, "stream cannot be in order"),
     ({"zone": "z"}, "own zone is not among the zones"), ({"tier": 2}, "tier outside the tiers"),
     ({"contract": {"turnGapMs": -1.0}}, "negative turn gap"), ({"me": -1}, "own number is negative"),
 ])
-def test_contradictory_settings_are_rejected_with_the_reason(changes: dict[str, Any], message: str) -> None:
-    with pytest.raises(ValueError, match=message):
+def test_contradictory_settings_are_rejected(changes: dict[str, Any], expected_error: str) -> None:
+    with pytest.raises(ValueError, match=expected_error):
         codec.decode_settings({**SETTINGS, **changes})
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -13,6 +13,7 @@
 from honeywharf import interface as api, simulator_adapter
 
 ROOT = Path(__file__).parent.parent
+# The adapter must ignore fields that it does not know: here `surprise`, in work items `novelty`.
 SETTINGS: dict[str, Any] = {
     "bounds": {"mostTries": 3, "cancel": True, "secondCopies": False, "cpuUsPerS": 1},
     "contract": {"coldShare": 0.3, "warmAfterMs": 8500.0, "graceToAnswerMs": 8.0, "askEveryMs": 10000.0},
@@ -76,7 +77,7 @@
     assert sent == ["b1", "b2"]
 
 
-@pytest.mark.parametrize(("line", "error"), [
+@pytest.mark.parametrize(("line", "expected_error"), [
     ("{not json", "JSON"),
     ("[]", "a batch must be an object"),
     (batch_line(7, {"Nonsense": {"who": 0}}), "round 7: Nonsense: unknown event"),
@@ -90,11 +91,11 @@
      "no request class"),
     (json.dumps({"tMs": 1.0, "arrivals": []}), "round"),
 ])
-def test_a_malformed_line_ends_the_process_with_one_error_line(line: str, error: str) -> None:
+def test_a_malformed_line_ends_the_process_with_one_error_line(line: str, expected_error: str) -> None:
     result = run_adapter(batch_line(6), line)
     assert result.returncode != 0
     assert len(result.stdout.splitlines()) == 1
-    assert error in result.stderr
+    assert expected_error in result.stderr
     assert len(result.stderr.splitlines()) == 1
 
 
