--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -14,7 +14,7 @@
 
 import uvloop
 
-from honeywharf import interface as api, wire
+from honeywharf import codec, interface as api
 from honeywharf.__main__ import Proxy
 from honeywharf.net import config, http1
 from honeywharf.net.calls import Call
@@ -206,7 +206,7 @@
     }
     return config.Config(
         name="n", listen=("127.0.0.1", 0), discovery=("127.0.0.1", discovery_port), seed=7, sockets=sockets,
-        known={"generation": 1, "reset": True, "instances": entries}, settings=wire.settings(settings),
+        known={"generation": 1, "reset": True, "instances": entries}, settings=codec.decode_settings(settings),
         report_fields=tuple(settings["report"]["fields"]),
     )
 
