--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -1,7 +1,7 @@
-"""The balancer's interface: settings in, events in, actions out.
+"""The types of the balancer's interface: its settings, the events it receives and the actions it returns.
 
-All times are milliseconds on the caller's clock. Nothing here decides anything: the decisions are
-in balancer.py, and an embedding proxy (or an adapter such as drill.py) builds these values.
+All times are in milliseconds on the clock of the embedding program, which is a proxy or an adapter such as
+drill.py. This module holds data only; the decisions are made in balancer.py.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class EndpointState(Enum):
-    """What discovery says of an endpoint's process."""
+    """The lifecycle state of an endpoint, as discovery reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -21,24 +21,24 @@
 
 
 class ListKind(Enum):
-    """How a list event relates to the list already held."""
+    """How an EndpointsListed event relates to the current endpoint list."""
 
-    CHANGES = "changes"
-    FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+    CHANGES = "changes"  # lists the endpoints that changed
+    FULL = "full"  # replaces the current list
+    CACHED = "cached"  # replaces the current list, from a cached copy that may be out of date
+    FAILED = "failed"  # the request to discovery failed, and the current list stays
 
 
 class Idempotency(Enum):
-    """Whether a request may run more than once."""
+    """Whether a request may be executed more than once."""
 
-    REPEATABLE = "repeatable"
-    KEYED = "keyed"
-    ONCE = "once"
+    REPEATABLE = "repeatable"  # it may be repeated anywhere
+    KEYED = "keyed"  # endpoints that share its deduplication scope drop repeats within a window
+    ONCE = "once"  # it must not be repeated once it may have been executed
 
 
 class DedupeScope(Enum):
-    """Which endpoints drop each other's repeats of a keyed request."""
+    """Which endpoints recognize and drop a repeat of a keyed request that one of them has received."""
 
     ALL = "all"
     ZONE = "zone"
@@ -46,60 +46,62 @@
 
 
 class LoadReporting(Enum):
-    """How an endpoint's load reports reach a balancer."""
+    """How the load reports of endpoints reach a balancer."""
 
-    IN_RESPONSES = "with answers"
+    IN_RESPONSES = "in responses"
     BY_PROBE = "by probe"
     NONE = "none"
 
 
 class WeightSource(Enum):
-    """What an endpoint's `weight` is: nothing, as registered, about that, or divided by what it holds."""
+    """Where the weights of endpoints come from."""
 
-    NONE = "none"
-    REGISTERED = "registered"
-    APPROXIMATE = "rough"
-    LIVE = "live"
+    NONE = "none"  # weights carry no information
+    REGISTERED = "registered"  # the registered capacity
+    APPROXIMATE = "approximate"  # approximately the registered capacity
+    LIVE = "live"  # the registered capacity divided by the endpoint's current load
 
 
 class Outcome(Enum):
-    """How an attempt ended."""
+    """The result of an attempt or of a probe."""
 
     OK = "ok"
     ERROR = "error"
     REJECTED = "rejected"
     TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect failed"  # refused, or broken before the last byte left
-    CONNECT_TIMEOUT = "connect timeout"  # no connection came up in time
+    CONNECT_FAILED = "connect failed"  # refused, or closed before the whole request was written
+    CONNECT_TIMEOUT = "connect timeout"  # no connection was established in time
     RESET = "reset"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
 
 
 class GiveUpReason(Enum):
-    """Why a request ends without a further attempt."""
+    """Why the balancer ends a request without a further attempt."""
 
-    LIST_EXPIRED = "list overdue"  # what the list held may lack counts as told
-    NO_SERVER = "no server"  # none is usable and has room
-    NO_TIME = "no time"  # its deadline has come, in a queue or between attempts
+    LIST_EXPIRED = "list overdue"  # the current endpoint list is stale
+    NO_SERVER = "no server"  # no usable server has capacity
+    NO_TIME = "no time"  # the deadline passed in a queue or between attempts
     NO_ATTEMPT_LEFT = "no attempt left"
     NO_RETRY_BUDGET = "no retry budget"
     UNKNOWN_CLASS = "unknown class"
 
 
-#: Outcomes that prove the attempt did not run.
+#: Outcomes after which the endpoint is known not to have executed the request.
 NOT_EXECUTED_OUTCOMES = frozenset({
     Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.CONNECT_TIMEOUT, Outcome.NOT_SENT})
-#: Outcomes after which the attempt may still be at work.
+#: Outcomes after which the endpoint may still be executing the request.
 MAYBE_RUNNING_OUTCOMES = frozenset({Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED})
 
 
 @dataclass(slots=True, frozen=True)
 class Endpoint:
-    """One server as discovery lists it. `started_ms` is None where it started long ago.
+    """One server, as discovery lists it.
 
-    `weight` compares endpoints with each other as `Settings.weight_source` says; `machine_type` is one of
-    `Settings.machine_types`.
+    `cell`: the part of the zone that it belongs to; DedupeScope.CELL refers to it.
+    `started_ms`: when the process started, or None if that was long ago.
+    `weight`: the capacity relative to other endpoints; `Settings.weight_source` says how it is determined.
+    `machine_type`: one of `Settings.machine_types`.
     """
 
     id: str
@@ -113,11 +115,17 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """What a class of requests is worth, when, and how often it may run.
-
-    `ordered_by_key`: requests of such classes that share a key run one at a time, in the order taken.
-    `aim_per_work`: the aim grows by so many times the work of the request itself.
-    `late_worth_fraction`: the part of the worth that an answer after the aim still has.
+    """The latency objective, the worth and the retry rules of a class of requests.
+
+    `aim_ms`: a response within this time counts in full.
+    `deadline_ms`: a response after this time counts for nothing.
+    `dedupe_scope`, `dedupe_window_ms`: where, and for how long, repeats of a keyed request are dropped.
+    `worth`: the value of a response, relative to that of other classes.
+    `late_worth_fraction`: the fraction of the worth that a response between aim and deadline keeps.
+    `ordered_by_key`: requests that share a key, over all classes with this flag, run one at a time in the
+    order of their arrival.
+    `stream`: the response is streamed to the client.
+    `aim_per_work`: the aim grows by this many times the work of the request.
     """
 
     name: str
@@ -135,7 +143,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant's requests a second, over all balancers, that count in full."""
+    """A tenant and its quota: the requests per second, over all balancers, that keep their full worth."""
 
     name: str
     quota_per_s: float
@@ -144,7 +152,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """What the site allows a balancer to do."""
+    """The features and resources that the deployment allows a balancer."""
 
     max_attempts: int = 3
     concurrent_attempts: bool = False
@@ -153,9 +161,9 @@
     retry_after: bool = False
     max_retry_after_ms: float = 0.0
     peer_messages: bool = False
-    max_concurrent_requests: int = 0  # requests held at once, 0 where nothing is said
-    max_concurrent_streams: int = 1  # attempts that one connection carries at once
-    idle_timeout_ms: float = 0.0  # a connection unused for so long is closed
+    max_concurrent_requests: int = 0  # requests open at the same time; 0 means no limit
+    max_concurrent_streams: int = 1  # attempts that one connection carries at the same time
+    idle_timeout_ms: float = 0.0  # an unused connection is closed after this time
     connect_timeout_ms: float = 0.0
     cpu_us_per_s: float = 0.0
     cpu_us_per_request: float = 0.0
@@ -163,9 +171,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The figures of the rules on answers, drains, cold starts, polled lists and order.
-
-    `key_cooldown_ms`: how long a key rests after an attempt that may still run (0 where order asks nothing).
+    """The parameters of the rules on final answers, drains, slow start, discovery and ordered requests.
+
+    `answer_grace_ms`: how long after its deadline a request may still get its final answer.
+    `drain_grace_ms`: how long a balancer may keep sending to an endpoint after the start of its drain.
+    `slow_start_share`: the share of its capacity that a server has when it starts.
+    `warm_up_ms`: the time in which that share grows to the whole capacity; 0 disables slow start.
+    `cold_overload_factor`, `cold_overload_window_ms`: a cold server is overloaded when it receives this many
+    times the load of its share for this long.
+    `poll_interval_ms`: the longest time between two requests to a polled discovery.
+    `key_cooldown_ms`: how long a key stays blocked after an attempt that may still be running.
     """
 
     answer_grace_ms: float = 0.0
@@ -180,7 +195,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScoreCosts:
-    """Points of the result that each unit costs."""
+    """The points that each unit of a resource or of a fault takes off the score."""
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -197,7 +212,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScoreWeights:
-    """The weights of the parts of the result."""
+    """The weights of the parts of the score."""
 
     overall: float = 1.0
     worst_window: float = 0.0
@@ -207,12 +222,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a balancer is told when it starts.
-
-    `balancer_count` counts the balancers of its tier and `balancer_index` is this one's number among them;
-    `tier` is the place in `tier_names` of the tier it sends to. `propagates_deadline`: a call brings the time
-    that its caller has left, not the whole deadline of its class. `worth_per_work_unit`: worth is counted by
-    work, not by request.
+    """The configuration of one balancer.
+
+    `zone`: the zone that the balancer runs in.
+    `over_quota_worth_factor`: multiplies the worth of the requests that a tenant makes beyond its quota.
+    `tier`: the index in `tier_names` of the tier that the balancer sends to; tier 0 serves the clients.
+    `balancer_count`, `balancer_index`: the number of balancers of this tier, and the index of this one.
+    `polled_discovery`: the endpoint list is polled with WatchEndpoints instead of being pushed.
+    `propagates_deadline`: a call carries the time that its caller has left, not the deadline of its class.
+    `worth_per_work_unit`: worth is counted per unit of work, not per request.
+    `clients_mark_retries`: clients set `RequestArrived.is_retry`.
     """
 
     zone: str
@@ -228,7 +247,7 @@
     load_report_fields: tuple[str, ...] = ()
     load_reporting: LoadReporting = LoadReporting.NONE
     balancer_index: int = 0
-    min_event_interval_ms: float = 0.0  # the least time between two rounds of events
+    min_event_interval_ms: float = 0.0  # between two batches of events
     domain: str = ""
     zone_names: tuple[str, ...] = ()
     tier_names: tuple[str, ...] = ()
@@ -243,51 +262,58 @@
     score_costs: ScoreCosts = field(default_factory=ScoreCosts)
 
     def __post_init__(self) -> None:
-        """Refuse settings that contradict themselves."""
-        def require(holds: bool, fault: str) -> None:
-            if not holds:
-                raise ValueError(f"settings: {fault}")
+        """Raise ValueError if the settings contradict each other."""
+        def require(condition: bool, message: str) -> None:
+            if not condition:
+                raise ValueError(f"settings: {message}")
 
         names = [c.name for c in self.classes]
-        require(bool(names), "no request class")
-        require(len(set(names)) == len(names), "a request class is named twice")
-        require(len({t.name for t in self.tenants}) == len(self.tenants), "a tenant is named twice")
-        for c in self.classes:
-            require(0 < c.aim_ms <= c.deadline_ms, f"class {c.name}: aim outside (0, deadline]")
-            require(c.worth >= 0 and c.late_worth_fraction >= 0, f"class {c.name}: negative worth")
-            require(c.idempotency is not Idempotency.KEYED or c.dedupe_window_ms >= 0,
-                    f"class {c.name}: negative window")
-            require(not (c.ordered_by_key and c.stream), f"class {c.name}: a stream cannot be in order")
-            require(c.aim_per_work >= 0, f"class {c.name}: negative aim stretch")
+        require(bool(names), "no request class is configured")
+        require(len(set(names)) == len(names), "two request classes have the same name")
+        require(len({t.name for t in self.tenants}) == len(self.tenants), "two tenants have the same name")
+        for cls in self.classes:
+            require(0 < cls.aim_ms <= cls.deadline_ms,
+                    f"class {cls.name}: the aim must be positive and at most the deadline")
+            require(cls.worth >= 0 and cls.late_worth_fraction >= 0,
+                    f"class {cls.name}: the worth and its late fraction must not be negative")
+            require(cls.idempotency is not Idempotency.KEYED or cls.dedupe_window_ms >= 0,
+                    f"class {cls.name}: the deduplication window is negative")
+            require(not (cls.ordered_by_key and cls.stream),
+                    f"class {cls.name}: a stream cannot be ordered by key")
+            require(cls.aim_per_work >= 0, f"class {cls.name}: the aim per work is negative")
         require(all(t.quota_per_s >= 0 for t in self.tenants), "a tenant's quota is negative")
-        require(self.limits.max_attempts >= 1, "no attempt allowed")
-        require(0 <= self.tier < self.tier_count, "tier outside the tiers")
-        require(len(self.tier_names) in (0, self.tier_count), "tier names do not match the tiers")
-        require(self.balancer_count >= 1 and self.zone_count >= 1, "no balancer or no zone")
-        require(self.balancer_index >= 0, "own number is negative")
-        require(not self.zone_names or self.zone in self.zone_names, "own zone is not among the zones")
-        require(0 < self.rules.slow_start_share <= 1, "cold share outside (0, 1]")
+        require(self.limits.max_attempts >= 1, "at least one attempt must be allowed")
+        require(0 <= self.tier < self.tier_count, "the tier index must be below the number of tiers")
+        require(len(self.tier_names) in (0, self.tier_count),
+                "the number of tier names differs from the number of tiers")
+        require(self.balancer_count >= 1 and self.zone_count >= 1,
+                "there must be at least one balancer and one zone")
+        require(self.balancer_index >= 0, "the balancer index is negative")
+        require(not self.zone_names or self.zone in self.zone_names,
+                "the balancer's own zone is not among the zones")
+        require(0 < self.rules.slow_start_share <= 1, "the slow start share must be above 0 and at most 1")
         require(min(self.rules.warm_up_ms, self.rules.answer_grace_ms, self.rules.drain_grace_ms) >= 0,
-                "negative time")
-        require(self.rules.key_cooldown_ms >= 0, "negative turn gap")
-        require(self.rules.cold_overload_factor > 0, "cold multiple is not positive")
+                "the warm-up time or a grace period is negative")
+        require(self.rules.key_cooldown_ms >= 0, "the key cooldown is negative")
+        require(self.rules.cold_overload_factor > 0, "the cold overload factor must be positive")
         require(not self.polled_discovery or self.rules.poll_interval_ms > 0,
-                "polled discovery without a period")
+                "polled discovery needs a poll interval")
 
 
-# Events: what happened.
+# Events that the embedding program passes to the balancer.
 
 
 @dataclass(slots=True, frozen=True)
 class Started:
-    """The balancer runs from now on."""
+    """The balancer has started."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointsListed:
-    """Word from discovery. A FAILED event carries no endpoints: the list held stands.
+    """A response or a push from discovery. A FAILED event has no endpoints, and the current list stays.
 
-    `expires_at_ms`: nothing may be sent on the list from then on, until another event gives a later time.
+    `expires_at_ms`: when the list expires. The balancer sends nothing from then on until another event gives
+    a later time.
     """
 
     kind: ListKind
@@ -296,17 +322,18 @@
     expires_at_ms: float = math.inf
 
     def summary(self) -> str:
-        """What the list says, for the operator: its kind, its generation, and its entries by state."""
-        states = Counter(endpoint.state for endpoint in self.endpoints)
-        entries = ", ".join(f"{states[state]} {state.value}" for state in EndpointState)
+        """Describe the list for the log: its kind, its generation and the number of endpoints by state."""
+        counts = Counter(endpoint.state for endpoint in self.endpoints)
+        entries = ", ".join(f"{counts[state]} {state.value}" for state in EndpointState)
         return f"{self.kind.value} to generation {self.generation}: {entries}"
 
 
 @dataclass(slots=True, frozen=True)
 class ListExpiryChanged:
-    """Nothing may be sent on the list held from then on, as changes that it may lack count as told.
+    """The current endpoint list expires at `expires_at_ms`, and the balancer sends nothing from then on.
 
-    A time that has passed holds until the next list comes, if only one that tells of no change.
+    From that time the balancer is deemed notified of changes that the list may lack. A time in the past
+    applies until the next EndpointsListed event, which may be one without changes.
     """
 
     expires_at_ms: float
@@ -314,7 +341,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A request to answer exactly once within `remaining_ms`; `key` is empty where it has none."""
+    """A request that needs exactly one final answer within `remaining_ms`; `key` is empty if it has none."""
 
     id: str
     class_name: str
@@ -328,7 +355,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """A streamed answer has begun: the attempt is the client's now."""
+    """A streamed response has begun, so the balancer gives no final answer for its request."""
 
     request: str
     attempt: int
@@ -338,9 +365,11 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt's one outcome. `request_finished`: no final answer is owed any more.
+    """An attempt has ended; each attempt ends exactly once.
 
-    `time_to_send_ms`: the part of `elapsed_ms` that had passed when its bytes left; all of it where none did.
+    `request_finished`: the request needs no further answer, because the client has its response or is gone.
+    `time_to_send_ms`: the part of `elapsed_ms` before the request was written to the socket, or all of
+    `elapsed_ms` if it never was.
     """
 
     request: str
@@ -354,20 +383,20 @@
 
     @property
     def response_time_ms(self) -> float:
-        """The time from when its bytes left: what the endpoint took, as opposed to the way there."""
+        """The time that the endpoint took, which excludes the time until the request was sent."""
         return self.elapsed_ms - self.time_to_send_ms
 
 
 @dataclass(slots=True, frozen=True)
 class RequestAbandoned:
-    """The client has left: nothing is owed any more."""
+    """The client no longer waits for the request, which needs no final answer any more."""
 
     request: str
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeEnded:
-    """What a probe of an endpoint found."""
+    """A probe of an endpoint has ended."""
 
     endpoint: str
     outcome: Outcome
@@ -377,14 +406,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer set by SetTimer has come due."""
+    """A timer set with SetTimer is due."""
 
     token: str
 
 
 @dataclass(slots=True, frozen=True)
 class PeerMessage:
-    """A message from another balancer of the tier."""
+    """A message from another balancer of the same tier has arrived."""
 
     sender: int
     payload: bytes
@@ -396,15 +425,16 @@
 )
 
 
-# Actions: what to do, in order.
+# Actions that the embedding program carries out, in the order in which they are returned.
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """Start the request's next attempt (they count from 0) at an endpoint.
+    """Start the request's next attempt, at an endpoint. Attempts of a request are numbered from 0.
 
-    `timeout_ms` bounds the whole attempt, 0: until the client gives up. `send_within_ms` bounds the time
-    until its bytes leave, as it may wait for a connection: later it must not leave, and ends as NOT_SENT.
+    `timeout_ms`: the timeout of the whole attempt; 0 means that only the client ends it.
+    `send_within_ms`: how long the attempt may wait for a connection. If it has not been written to the
+    socket by then, it must not be sent any more, and ends as NOT_SENT.
     """
 
     request: str
@@ -415,7 +445,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt."""
 
     request: str
     attempt: int
@@ -423,31 +453,31 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: not run; trying again is harmless, after `retry_after_ms` where it is given."""
+    """Final answer: the request may be retried safely, after `retry_after_ms` unless that is 0."""
 
     request: str
     retry_after_ms: float = 0.0
-    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the operator
+    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for logs and metrics
 
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed, with no promise about the effect."""
+    """Final answer: the request failed, and it is unknown whether it has been executed."""
 
     request: str
-    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for the operator
+    reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for logs and metrics
 
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Check on an endpoint."""
+    """Probe the health of an endpoint."""
 
     endpoint: str
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a TimerFired with this token at `at_ms` or soon after."""
+    """Request a TimerFired event with this token at `at_ms` or shortly after."""
 
     at_ms: float
     token: str
@@ -455,12 +485,12 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Ask discovery for changes from now on."""
+    """Start to watch discovery for changes of the endpoint list."""
 
 
 @dataclass(slots=True, frozen=True)
 class FetchEndpoints:
-    """Ask discovery for the whole list, once."""
+    """Fetch the whole endpoint list from discovery, once."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -472,7 +502,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Log:
-    """A line for the operator."""
+    """Write a line to the log."""
 
     message: str
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -86,7 +86,7 @@
         make_settings(classes=())
     with pytest.raises(ValueError, match="tier"):
         make_settings(tier=3)
-    with pytest.raises(ValueError, match="cold share"):
+    with pytest.raises(ValueError, match="slow start share"):
         make_settings(rules=api.Rules(slow_start_share=0.0))
 
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -112,9 +112,10 @@
 
 
 @pytest.mark.parametrize(("change", "fault"), [
-    ({"profiles": [{**RAW["profiles"][0], "stream": True}]}, "stream cannot be in order"),
-    ({"zone": "z"}, "own zone is not among the zones"), ({"tier": 2}, "tier outside the tiers"),
-    ({"contract": {"turnGapMs": -1.0}}, "negative turn gap"), ({"me": -1}, "own number is negative"),
+    ({"profiles": [{**RAW["profiles"][0], "stream": True}]}, "a stream cannot be ordered by key"),
+    ({"zone": "z"}, "own zone is not among the zones"), ({"tier": 2}, "tier index must be below"),
+    ({"contract": {"turnGapMs": -1.0}}, "key cooldown is negative"),
+    ({"me": -1}, "balancer index is negative"),
 ])
 def test_contradictory_settings_are_refused_by_name(change: dict[str, Any], fault: str) -> None:
     with pytest.raises(ValueError, match=fault):
