--- a/honeywharf/balancer.py
+++ b/honeywharf/balancer.py
@@ -1,10 +1,10 @@
-"""The balancer: events in, actions out; its types, events and actions are in honeywharf/interface.py.
+"""The balancer: events in, actions out. honeywharf/interface.py defines the types of both.
 
 A call goes to a uniformly random usable server of the balancer's own zone, and to any zone only when the
-own zone has no usable server. Which servers are usable is decided in honeywharf/policy/: host_set.py keeps
-the listed servers, outlier.py ejects those that fail, concurrency.py limits the calls in flight. This file
-takes the events in order, chooses the server, and decides what happens to a request when an attempt fails. It
-reads top to bottom: list, choice, requests, outcomes.
+own zone has no usable server. The modules of honeywharf/policy/ decide which servers are usable: host_set.py
+keeps the listed servers, outlier.py ejects failing ones, and concurrency.py limits the calls in flight. This
+module handles the events in order, chooses a server for each attempt, and decides how a request goes on when
+an attempt fails. Its sections are the endpoint list, the choice of a server, requests and outcomes.
 """
 
 from __future__ import annotations
@@ -22,22 +22,33 @@
 from honeywharf.policy.request import Attempt, KeyQueue, Request
 from honeywharf.policy.server import Server
 
-PICKS = 8  # random picks at a level before it counts as empty: finds a half-usable level 255 times in 256
-LINE_MS = 50.0  # about a call's turn in discovery's line: such a pause for each balancer lets all have one
-LEAST_PAUSE_MS = 500.0  # but not under that. Guards against lists that are overdue for the pause alone
-RETRY_RATIO = 0.1  # retries earned by each first attempt: a tenth more load at most when all fails
-RETRY_BURST = 5.0  # retries a quiet balancer may make at once
-REJECTED_COST = 0.25  # of a retry: turned away unseen is little load; giving up wastes the tiers above
-#: What never left for a server, or never reached it: no load, and no word of how the server does.
-UNREACHED = frozenset({
+# Random picks per level before the level counts as empty. If half of its servers are usable, 8 picks find one
+# 255 times in 256.
+MAX_PICKS_PER_LEVEL = 8
+# The pause after a failed watch is limited, because a long pause would be enough to let the list expire. The
+# limit grows by about the time that discovery takes to serve one balancer, so that it can serve all of them.
+WATCH_PAUSE_PER_BALANCER_MS = 50.0
+MIN_WATCH_PAUSE_LIMIT_MS = 500.0
+# Retry tokens that a request earns. Retries add at most a tenth to the load when every attempt fails.
+RETRY_TOKENS_PER_REQUEST = 0.1
+MAX_RETRY_TOKENS = 5.0  # retries that a balancer with little traffic may make at once
+# The retry of a rejected attempt costs less than a whole token: a rejection causes little load, while giving
+# up wastes the work that the outer tiers have done.
+REJECTED_RETRY_TOKENS = 0.25
+#: Outcomes of attempts that did not reach a server. They cause no load and say nothing about its health.
+UNREACHED_OUTCOMES = frozenset({
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.NOT_SENT, api.Outcome.CANCELLED})
-COME_BACK_MS = (200.0, 600.0)  # in which a refused client may come back: a jam's answers take about that long
-TARGET = 0.5  # of its aim that an answer may take before a zone counts as crowded; the rest is for chance
-OVER_SHARE_ROOM = 0.25  # part of a limit open to tenants over their share: the rest is kept for the others
+# Range of the delay after which a refused client may retry: responses take about that long under overload.
+RETRY_AFTER_RANGE_MS = (200.0, 600.0)
+# The part of its aim that a response may take before its zone counts as overloaded. The rest is a margin for
+# random variation.
+LATENCY_TARGET = 0.5
+# The part of a concurrency limit that is open to tenants over their quota. The rest is kept for the others.
+OVER_QUOTA_ADMISSION = 0.25
 
 
 class Balancer:
-    """The decisions of one balancer: an event in, the actions to carry out at once in order out."""
+    """Decides for one balancer. It has no clock and does no I/O: time and events come from the caller."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -46,125 +57,135 @@
         self.host_set = HostSet(settings, self.random)
         self.outliers = OutlierDetector(self.host_set, self.random)
         self.requests: dict[str, Request] = {}
-        self.lines: dict[str, KeyQueue] = {}  # by key: one key space over all ordered classes
-        self.rests: deque[tuple[float, str]] = deque()  # when keys have rested: all rest equally long
-        self.turns: deque[str] = deque()  # keys whose first request may have the turn now
-        self.waiting: list[tuple[float, str]] = []  # a heap: deadlines of requests that wait for their turn
+        self.key_queues: dict[str, KeyQueue] = {}  # all ordered classes share one key space
+        # The end of each key's cooldown. The deque is sorted by time, as all cooldowns are equally long.
+        self.key_cooldowns: deque[tuple[float, str]] = deque()
+        self.ready_keys: deque[str] = deque()  # keys whose first request may be sent now
+        self.queued_deadlines: list[tuple[float, str]] = []  # a heap of the deadlines of queued requests
         self.tenants = {t.name: t for t in settings.tenants}
-        self.buckets: dict[str, TenantQuota] = {}
+        self.tenant_quotas: dict[str, TenantQuota] = {}
         self.mean_worth = max(c.worth for c in settings.classes) or 1.0
-        self.retry_tokens = RETRY_BURST
+        self.retry_tokens = MAX_RETRY_TOKENS
         self.failed_watches, self.now_ms = 0, 0.0
-        self.list_expires_at_ms = math.inf  # from then on what the list held may lack counts as told
+        self.list_expires_at_ms = math.inf  # nothing is sent on the current list from then on
         self.actions: list[api.Action] = []
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        """Take one event; `now_ms` never goes back."""
+        """Handle one event and return the actions to carry out, in order; `now_ms` must never decrease."""
         self.now_ms, self.actions = now_ms, []
         if isinstance(event, api.RequestArrived):
-            self._arrived(event)
+            self._on_request_arrived(event)
         elif isinstance(event, api.AttemptEnded):
-            self._ended(event)
+            self._on_attempt_ended(event)
         elif isinstance(event, api.EndpointsListed):
-            self._listed(event)
+            self._on_endpoints_listed(event)
         elif isinstance(event, api.ListExpiryChanged):
             self.list_expires_at_ms = event.expires_at_ms
         elif isinstance(event, api.RequestAbandoned):
             if event.request in self.requests:
-                self._close(self.requests[event.request])
+                self._finish(self.requests[event.request])
         elif isinstance(event, api.Started):
-            self._watch_soon(self.settings.rules.poll_interval_ms / 10)
+            self._schedule_watch(self.settings.rules.poll_interval_ms / 10)
         elif isinstance(event, api.TimerFired):
-            self._woken(event.token)
+            self._on_timer(event.token)
         elif isinstance(event, api.ResponseStarted) and event.request in self.requests:
-            self.requests[event.request].answered = True  # the stream is the client's: nothing more is owed
-        while self.turns:
-            self._take_turn(self.turns.popleft())
+            self.requests[event.request].answered = True  # the client receives the stream itself
+        while self.ready_keys:
+            self._dispatch_next(self.ready_keys.popleft())
         return self.actions
 
     def summary(self) -> str:
-        """How each zone stands, for the operator: a few words a zone, however many servers it has."""
+        """Describe each zone for the log, in a length that does not depend on the number of its servers."""
+        # The number of usable servers follows from `spare`, which is 3 * usable - 2 * ready.
         return " ".join(
             f"{name or '-'}[usable={(z.spare + 2 * z.ready) // 3}/{z.ready} calls={z.in_flight} "
             f"limit={z.limit * z.capacity:.1f} lateness={z.lateness:.2f}]"
             for name, z in sorted(self.host_set.zones.items()))
 
-    def _woken(self, token: str) -> None:
+    def _on_timer(self, token: str) -> None:
         if token == "watch":
             self.actions.append(api.WatchEndpoints())
         elif token == "turn":
-            while self.rests and self.rests[0][0] <= self.now_ms:
-                self.turns.append(self.rests.popleft()[1])
+            while self.key_cooldowns and self.key_cooldowns[0][0] <= self.now_ms:
+                self.ready_keys.append(self.key_cooldowns.popleft()[1])
         elif token == "wait":
-            while self.waiting and self.waiting[0][0] <= self.now_ms:
-                request = self.requests.get(heapq.heappop(self.waiting)[1])
+            while self.queued_deadlines and self.queued_deadlines[0][0] <= self.now_ms:
+                request = self.requests.get(heapq.heappop(self.queued_deadlines)[1])
                 if request is not None and not request.attempts and not request.answered:
                     self._give_up(request, api.GiveUpReason.NO_TIME)
 
-    # The list of endpoints.
+    # The endpoint list.
 
-    def _watch_soon(self, spread_ms: float) -> None:
-        """Subscribe after a random wait: balancers that start or fail together must not call together."""
+    def _schedule_watch(self, max_delay_ms: float) -> None:
+        """Watch the list after a random delay, so that balancers do not all call discovery at once."""
         if self.settings.polled_discovery:
-            self.actions.append(api.SetTimer(self.now_ms + self.random.uniform(0.0, spread_ms), "watch"))
+            self.actions.append(api.SetTimer(self.now_ms + self.random.uniform(0.0, max_delay_ms), "watch"))
 
-    def _listed(self, event: api.EndpointsListed) -> None:
+    def _on_endpoints_listed(self, event: api.EndpointsListed) -> None:
         if event.kind is api.ListKind.FAILED:
             self.failed_watches += 1
-            longest = self.settings.rules.poll_interval_ms
-            most = max(LEAST_PAUSE_MS, LINE_MS * self.settings.balancer_count)
-            self._watch_soon(min(longest, most, longest / 10 * 2 ** self.failed_watches))
+            interval_ms = self.settings.rules.poll_interval_ms
+            limit_ms = max(
+                MIN_WATCH_PAUSE_LIMIT_MS, WATCH_PAUSE_PER_BALANCER_MS * self.settings.balancer_count)
+            self._schedule_watch(min(interval_ms, limit_ms, interval_ms / 10 * 2 ** self.failed_watches))
             return
         self.failed_watches, self.list_expires_at_ms = 0, event.expires_at_ms
         self.host_set.update(event, self.now_ms)
 
-    def _list_overdue(self) -> bool:
-        """Whether nothing may be sent on the list held, by the clock: a timer may come late."""
+    def _is_list_expired(self) -> bool:
+        """Whether the current list has expired by the clock; a timer for this could be late."""
         return self.now_ms >= self.list_expires_at_ms
 
-    # The choice.
+    # The choice of a server.
 
-    def _choose(self, request: Request) -> Server | None:
-        """An even random choice in the first level where a few picks find a usable server."""
+    def _choose_server(self, request: Request) -> Server | None:
+        """Choose a random server of the first level in which a few random picks find a usable one."""
         self.host_set.refresh_if_due(self.now_ms)
-        if self._list_overdue():
-            # Guards against sending to a server whose drain or end counts as told: each one listed may have
-            # begun to drain, and that it answers shows nothing, as draining servers take calls too.
+        if self._is_list_expired():
+            # Any listed server may have begun to drain or be gone, and the balancer is deemed notified of it.
+            # That a server responds proves nothing, because draining servers accept calls too.
             return None
-        home, chance = self.host_set.zones.get(self.settings.zone), self.random.random()
-        for depth, level in enumerate(self.host_set.levels):
-            crowded = home is not None and not home.has_room(request.room, chance)
-            if depth == 0 and crowded and self.settings.tier == 0:
-                continue  # deeper down a refusal would only become a retry above
-            server = self._pick(level, depth, request, chance)
+        own_zone, draw = self.host_set.zones.get(self.settings.zone), self.random.random()
+        for priority, level in enumerate(self.host_set.levels):
+            own_zone_full = own_zone is not None and not own_zone.has_room(request.room, draw)
+            # Inner tiers send all the same: their refusal would only cause a retry in the tier before.
+            if priority == 0 and own_zone_full and self.settings.tier == 0:
+                continue
+            server = self._pick_from_level(level, priority, request, draw)
             if server is not None:
                 return server
         return None
 
-    def _pick(self, level: list[Server], depth: int, request: Request, chance: float) -> Server | None:
-        """A few even picks; what is not usable, or has no room, is passed over."""
-        if request.may_have_run() is not None:  # a retry that may only go to some servers
+    def _pick_from_level(
+        self, level: list[Server], priority: int, request: Request, draw: float,
+    ) -> Server | None:
+        """Pick random servers of a level until one is usable and has capacity, a few times at most."""
+        if request.may_have_run() is not None:  # the retry may be limited to some servers
             level = [s for s in level if request.may_send_to(s.endpoint, self.now_ms)]
-        tried = request.attempts[-1].server if request.attempts else None
-        sheds = self.settings.tier == 0  # deeper down the last level takes what no server has room for
-        for _ in range(PICKS if level else 0):
+        last_server = request.attempts[-1].server if request.attempts else None
+        sheds_load = self.settings.tier == 0  # in inner tiers the last level ignores the concurrency limits
+        for _ in range(MAX_PICKS_PER_LEVEL if level else 0):
             server = level[int(self.random.random() * len(level))]
-            if (server is tried and len(level) > 1) or (
+            if (server is last_server and len(level) > 1) or (
                     server.warming_up and self.now_ms < server.next_call_ms):
                 continue
             zone = self.host_set.zones[server.endpoint.zone]
-            if depth > 0 and sheds and not zone.has_room(request.room, chance):
+            if priority > 0 and sheds_load and not zone.has_room(request.room, draw):
                 continue
-            if (depth < 2 or sheds) and not zone.has_room(request.room, chance, server):
+            if (priority < 2 or sheds_load) and not zone.has_room(request.room, draw, server):
                 continue
-            if depth < 2 and not self._answers(server, request):
+            if priority < 2 and not self._is_healthy_for(server, request):
                 continue
             if server.share >= 1.0 or self.random.random() < server.share:
                 return server
         return None
 
-    def _answers(self, server: Server, request: Request) -> bool:
-        """Whether the server is known to answer; half open, it gets one repeatable call at a time."""
+    def _is_healthy_for(self, server: Server, request: Request) -> bool:
+        """Whether the server may get the request, by its ejections.
+
+        After an ejection it is half-open: it gets one trial call at a time, and no request that may run only
+        once. A server that is ejected for one class gets no calls of that class.
+        """
         if server.consecutive_ejections and (server.calls or request.cls.idempotency is api.Idempotency.ONCE):
             return False
         ejected_until = server.class_ejected_until
@@ -172,7 +193,7 @@
 
     # Requests.
 
-    def _arrived(self, event: api.RequestArrived) -> None:
+    def _on_request_arrived(self, event: api.RequestArrived) -> None:
         cls = self.classes.get(event.class_name)
         if cls is None:
             self.actions.append(api.Fail(event.id, api.GiveUpReason.UNKNOWN_CLASS))
@@ -180,54 +201,54 @@
         key = event.key if cls.ordered_by_key else ""
         request = Request(event.id, cls, key, self.now_ms + event.remaining_ms, cls.worth)
         self.requests[event.id] = request
-        self._rank(request, event.tenant)
-        self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
+        self._set_admission(request, event.tenant)
+        self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
         if request.key:
-            self._line_up(request)
+            self._enqueue(request)
         else:
-            self._attempt(request)
-
-    def _line_up(self, request: Request) -> None:
-        """Keep order: one request of a key at a time; the others wait, each to its own deadline."""
-        line = self.lines.setdefault(request.key, KeyQueue())
-        line.held.append(request)
-        if line.held[0] is request and line.rests_until <= self.now_ms:
-            self._attempt(request)
+            self._start_attempt(request)
+
+    def _enqueue(self, request: Request) -> None:
+        """Queue the request behind others of its key, and send it now if it is the first of them."""
+        queue = self.key_queues.setdefault(request.key, KeyQueue())
+        queue.held.append(request)
+        if queue.held[0] is request and queue.rests_until <= self.now_ms:
+            self._start_attempt(request)
         else:
-            heapq.heappush(self.waiting, (request.deadline, request.id))
+            heapq.heappush(self.queued_deadlines, (request.deadline, request.id))
             self.actions.append(api.SetTimer(request.deadline, "wait"))
 
-    def _take_turn(self, key: str) -> None:
-        """Send the first request in line, unless the key rests or it was sent before."""
-        line = self.lines.get(key)
-        if line is None or line.rests_until > self.now_ms:
-            return  # its timer comes back to it
-        if not line.held:
-            del self.lines[key]
-        elif not line.held[0].attempts:
-            self._attempt(line.held[0])
-
-    def _rank(self, request: Request, tenant: str) -> None:
-        """What the request is worth here, and how much of a zone's limit is open to it."""
+    def _dispatch_next(self, key: str) -> None:
+        """Send the first queued request of a key, unless it is already sent or the key is in cooldown."""
+        queue = self.key_queues.get(key)
+        if queue is None or queue.rests_until > self.now_ms:
+            return  # a timer ends the cooldown and dispatches the key again
+        if not queue.held:
+            del self.key_queues[key]
+        elif not queue.held[0].attempts:
+            self._start_attempt(queue.held[0])
+
+    def _set_admission(self, request: Request, tenant: str) -> None:
+        """Set the worth of the request, and the part of a zone's concurrency limit that is open to it."""
         request.room = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
-        bucket = self.buckets.get(tenant)
-        if bucket is None and tenant in self.tenants:
-            quota = self.tenants[tenant].quota_per_s / self.settings.balancer_count
-            bucket = self.buckets[tenant] = TenantQuota(quota / 1000.0, quota, self.now_ms)
-        if bucket is not None and not bucket.take(self.now_ms):
+        quota = self.tenant_quotas.get(tenant)
+        if quota is None and tenant in self.tenants:
+            share_per_s = self.tenants[tenant].quota_per_s / self.settings.balancer_count
+            quota = self.tenant_quotas[tenant] = TenantQuota(share_per_s / 1000.0, share_per_s, self.now_ms)
+        if quota is not None and not quota.take(self.now_ms):
             request.worth *= self.settings.over_quota_worth_factor
-            request.room *= OVER_SHARE_ROOM
+            request.room *= OVER_QUOTA_ADMISSION
         self.mean_worth += (request.worth - self.mean_worth) / 100.0
 
-    def _attempt(self, request: Request) -> None:
-        """Send the request's next attempt, or end the request where there is nowhere to send it."""
+    def _start_attempt(self, request: Request) -> None:
+        """Send the request's next attempt, or give up if no server can get it."""
         if request.deadline <= self.now_ms:
             self._give_up(request, api.GiveUpReason.NO_TIME)
             return
-        server = self._choose(request)
+        server = self._choose_server(request)
         if server is not None:
             self._send(request, server)
-        elif self._list_overdue():
+        elif self._is_list_expired():
             self._give_up(request, api.GiveUpReason.LIST_EXPIRED)
         else:
             self._give_up(request, api.GiveUpReason.NO_SERVER)
@@ -246,24 +267,24 @@
 
     def _give_up(self, request: Request, reason: api.GiveUpReason) -> None:
         if request.may_refuse():
-            limits, again_ms = self.settings.limits, 0.0
-            if limits.retry_after:  # spread, so that those who were refused together do not return together
-                again_ms = min(limits.max_retry_after_ms, self.random.uniform(*COME_BACK_MS))
-            self.actions.append(api.Refuse(request.id, again_ms, reason))
+            limits, retry_after_ms = self.settings.limits, 0.0
+            if limits.retry_after:  # random, so that clients refused together do not retry together
+                retry_after_ms = min(limits.max_retry_after_ms, self.random.uniform(*RETRY_AFTER_RANGE_MS))
+            self.actions.append(api.Refuse(request.id, retry_after_ms, reason))
         else:
             self.actions.append(api.Fail(request.id, reason))
-        self._close(request)
+        self._finish(request)
 
-    def _close(self, request: Request) -> None:
-        """The request is answered; it is forgotten once no attempt is out."""
+    def _finish(self, request: Request) -> None:
+        """Mark the request as answered, and remove it once none of its attempts is in flight."""
         request.answered = True
         if any(a.live for a in request.attempts) or self.requests.pop(request.id, None) is None:
             return
         if request.key:
-            self.lines[request.key].held.remove(request)
-            self.turns.append(request.key)
+            self.key_queues[request.key].held.remove(request)
+            self.ready_keys.append(request.key)
 
-    def _ended(self, event: api.AttemptEnded) -> None:
+    def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
         request = self.requests.get(event.request)
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
@@ -274,50 +295,56 @@
         attempt.left_ms = attempt.sent_ms + event.time_to_send_ms
         attempt.server.calls.pop(attempt, None)
         attempt.release()
-        if attempt.ejections == attempt.server.ejections and not attempt.hangs:  # else this is old news
-            self._teach(attempt.zone, request, event)
+        # The outcome is out of date if the server was ejected, or the call deemed hung, since it was sent.
+        if attempt.ejections == attempt.server.ejections and not attempt.hangs:
+            self._update_zone_limit(attempt.zone, request, event)
             self.outliers.record(attempt.server, request, event, self.now_ms)
         if request.key and event.outcome in api.MAYBE_RUNNING_OUTCOMES:
-            # Guards order: the endpoint may be at work on it yet, so the key rests.
-            self.lines[request.key].rests_until = self.now_ms + self.settings.rules.key_cooldown_ms
-            self.rests.append((self.lines[request.key].rests_until, request.key))
-            self.actions.append(api.SetTimer(self.rests[-1][0], "turn"))
+            # The endpoint may still be executing the request. The next one waits, to keep the order.
+            self.key_queues[request.key].rests_until = self.now_ms + self.settings.rules.key_cooldown_ms
+            self.key_cooldowns.append((self.key_queues[request.key].rests_until, request.key))
+            self.actions.append(api.SetTimer(self.key_cooldowns[-1][0], "turn"))
         if event.request_finished or request.answered:
-            self._close(request)
+            self._finish(request)
         elif not any(a.live for a in request.attempts):
-            self._again(request, event.outcome)
-        else:  # what is still out hangs: it may yet come, so there is no final answer
-            self._copy(request)
+            self._retry(request, event.outcome)
+        else:  # the attempts in flight hang; one may still succeed, so there is no final answer yet
+            self._send_hedged(request)
         if event.outcome is api.Outcome.OK and not attempt.hangs:
-            self._overtake(attempt, request.cls)
+            self._detect_hung_calls(attempt, request.cls)
 
-    def _teach(self, zone: Zone, request: Request, event: api.AttemptEnded) -> None:
+    def _update_zone_limit(self, zone: Zone, request: Request, event: api.AttemptEnded) -> None:
+        """Adapt the concurrency limit of the zone to how late the attempt ended."""
         cls = request.cls
-        # The aim alone says what is late: the best times seen lie far under the ordinary ones.
+        # Lateness is relative to the aim, because the shortest latencies seen are far below the usual ones. A
+        # rejection counts as the greatest lateness.
         rejected = event.outcome is api.Outcome.REJECTED
-        lateness = 3.0 if rejected else event.response_time_ms / (TARGET * cls.aim_ms)
-        # Guards against taking what failed early (a refused connection, a fault, little time left) for a zone
-        # at ease: only an answer shows ease, the rest at most that it came so late.
-        if event.outcome is api.Outcome.OK or (event.outcome not in UNREACHED and lateness > 1.0):
+        lateness = 3.0 if rejected else event.response_time_ms / (LATENCY_TARGET * cls.aim_ms)
+        # An early failure (a refused connection, an error, a short deadline) is no sign of spare capacity, so
+        # only a success counts when it was early. Other outcomes count only when they were late.
+        if event.outcome is api.Outcome.OK or (event.outcome not in UNREACHED_OUTCOMES and lateness > 1.0):
             zone.learn(lateness, self.now_ms)
 
-    def _again(self, request: Request, outcome: api.Outcome) -> None:
-        """A further attempt within the rules and the retry budget, else the final answer."""
-        cost = REJECTED_COST if outcome is api.Outcome.REJECTED else 0.0 if outcome in UNREACHED else 1.0
+    def _retry(self, request: Request, outcome: api.Outcome) -> None:
+        """Retry within the rules and the retry budget, or give up."""
+        cost = (
+            REJECTED_RETRY_TOKENS if outcome is api.Outcome.REJECTED
+            else 0.0 if outcome in UNREACHED_OUTCOMES else 1.0)
         if len(request.attempts) >= self.settings.limits.max_attempts:
             self._give_up(request, api.GiveUpReason.NO_ATTEMPT_LEFT)
         elif self.retry_tokens < cost:
             self._give_up(request, api.GiveUpReason.NO_RETRY_BUDGET)
         else:
             self.retry_tokens -= cost
-            self._attempt(request)
+            self._start_attempt(request)
 
-    def _overtake(self, answered: Attempt, cls: api.RequestClass) -> None:
-        """Find the calls that hang: far over the usual time, at a server that answers later ones as usual.
+    def _detect_hung_calls(self, answered: Attempt, cls: api.RequestClass) -> None:
+        """Find the hung calls of a server that has just answered a later call in the usual time.
 
-        Guards against calls that were lost on the way or forgotten by the server: each would take a place in
-        its zone until its time is up, which shuts the gate before idle servers, and its request fails.
-        Could hurt where work differs much within a class: long calls then run twice.
+        Such a call takes far longer than usual, because it was lost on the way or forgotten by the server. If
+        it were not detected, it would count against the limit of its zone until its timeout, so that calls
+        are refused although servers are idle, and its request would fail. Where the work differs much within
+        a class, long calls may be taken for hung ones and run twice.
         """
         latency = self.outliers.latency
         if self.now_ms - answered.sent_ms > latency.slow_ms(cls.name) or not latency.is_settled(cls.name):
@@ -335,16 +362,16 @@
             call.release()
             if call.ejections == call.server.ejections:
                 self.outliers.record_hung_call(call.server, self.now_ms)
-            self._copy(request)
+            self._send_hedged(request)
 
-    def _copy(self, request: Request) -> None:
-        """A second copy of a request whose call hangs, where the class and the budget allow one."""
+    def _send_hedged(self, request: Request) -> None:
+        """Send a hedged request for one whose call hangs, if its class and the retry budget allow it."""
         cls, limits = request.cls, self.settings.limits
         if (request.answered or not limits.concurrent_attempts or cls.ordered_by_key or cls.stream
                 or len(request.attempts) >= limits.max_attempts or self.retry_tokens < 1.0
                 or any(a.live and not a.hangs for a in request.attempts) or request.deadline <= self.now_ms):
             return
-        server = self._choose(request)
+        server = self._choose_server(request)
         if server is not None:
             self.retry_tokens -= 1.0
             self._send(request, server)
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -86,7 +86,7 @@
     assert timer.at_ms <= driver.now + 300
     assert only_refusal(woken(driver, timer.token, 300)).request == "r2"
     assert sends(driver.end(O.OK, request="r1")) == []
-    assert not driver.balancer.lines
+    assert not driver.balancer.key_queues
 
 
 def test_a_held_request_whose_client_left_loses_its_place(driver: Driver) -> None:
@@ -108,8 +108,8 @@
         driver.request("borrow", key=f"k{i}")
         driver.end(O.TIMEOUT if i % 2 else O.OK)
     woken(driver, "turn", GAP)
-    assert not driver.balancer.lines
-    assert not driver.balancer.rests
+    assert not driver.balancer.key_queues
+    assert not driver.balancer.key_cooldowns
 
 
 def test_a_long_line_that_nothing_can_serve_is_answered(driver: Driver) -> None:
--- a/tests/test_retry_safety.py
+++ b/tests/test_retry_safety.py
@@ -321,8 +321,8 @@
             slow_start_share=0.2, warm_up_ms=10000, poll_interval_ms=10000, key_cooldown_ms=150.0),
     )
     assert not balancer.requests
-    assert not balancer.lines
-    assert not balancer.waiting
+    assert not balancer.key_queues
+    assert not balancer.queued_deadlines
     assert all(not s.calls for s in balancer.host_set.servers.values())
 
 
@@ -361,19 +361,19 @@
 class JumpsTheLine(Balancer):
     """Broken on purpose: sends what it should hold."""
 
-    def _line_up(self, request: Any) -> None:
-        super()._line_up(request)
+    def _enqueue(self, request: Any) -> None:
+        super()._enqueue(request)
         if not request.attempts and not request.answered:
-            self._attempt(request)
+            self._start_attempt(request)
 
 
 class ForgetsToRest(Balancer):
     """Broken on purpose: gives the turn on at once after a time-out."""
 
-    def _take_turn(self, key: str) -> None:
-        if key in self.lines:
-            self.lines[key].rests_until = 0.0
-        super()._take_turn(key)
+    def _dispatch_next(self, key: str) -> None:
+        if key in self.key_queues:
+            self.key_queues[key].rests_until = 0.0
+        super()._dispatch_next(key)
 
 
 @pytest.mark.parametrize(
