--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -155,10 +155,10 @@
     """The features and resources that the deployment allows a balancer."""
 
     max_attempts: int = 3
-    concurrent_attempts: bool = False
-    cancel: bool = False
+    concurrent_attempts: bool = False  # hedged requests are allowed
+    cancel: bool = False  # attempts can be cancelled
     probes: bool = False
-    retry_after: bool = False
+    retry_after: bool = False  # refusals may carry a retry delay
     max_retry_after_ms: float = 0.0
     peer_messages: bool = False
     max_concurrent_requests: int = 0  # requests open at the same time; 0 means no limit
@@ -228,8 +228,10 @@
     `over_quota_worth_factor`: multiplies the worth of the requests that a tenant makes beyond its quota.
     `tier`: the index in `tier_names` of the tier that the balancer sends to; tier 0 serves the clients.
     `balancer_count`, `balancer_index`: the number of balancers of this tier, and the index of this one.
+    `zone_count`, `tier_count`: the number of zones and of tiers, also where they have no names.
     `polled_discovery`: the endpoint list is polled with WatchEndpoints instead of being pushed.
     `propagates_deadline`: a call carries the time that its caller has left, not the deadline of its class.
+    `load_report_fields`: the names of the values in a load report, in their order.
     `worth_per_work_unit`: worth is counted per unit of work, not per request.
     `clients_mark_retries`: clients set `RequestArrived.is_retry`.
     """
@@ -341,7 +343,12 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A request that needs exactly one final answer within `remaining_ms`; `key` is empty if it has none."""
+    """A request that needs exactly one final answer within `remaining_ms`.
+
+    `is_retry`: the client marks it as a retry.
+    `key`: requests of ordered classes that share it run in order; empty if the request has none.
+    `work_hint_ms`: an estimate of its work, if the client gives one.
+    """
 
     id: str
     class_name: str
@@ -367,6 +374,7 @@
 class AttemptEnded:
     """An attempt has ended; each attempt ends exactly once.
 
+    `load_report`: the endpoint's load report, with the values of `Settings.load_report_fields`.
     `request_finished`: the request needs no further answer, because the client has its response or is gone.
     `time_to_send_ms`: the part of `elapsed_ms` before the request was written to the socket, or all of
     `elapsed_ms` if it never was.
