--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -269,7 +269,7 @@
             if not condition:
                 raise ValueError(f"settings: {message}")
 
-        names = [c.name for c in self.classes]
+        names = [cls.name for cls in self.classes]
         require(bool(names), "no request class is configured")
         require(len(set(names)) == len(names), "two request classes have the same name")
         require(len({t.name for t in self.tenants}) == len(self.tenants), "two tenants have the same name")
