--- a/honeywharf/brain.py
+++ b/honeywharf/brain.py
@@ -133,7 +133,7 @@
             return None
         home, chance = self.host_set.zones.get(self.settings.zone), self.random.random()
         for depth, level in enumerate(self.host_set.levels):
-            crowded = home is not None and not home.has_room(request.room, chance)
+            crowded = home is not None and not home.has_room(request.limit_share, chance)
             if depth == 0 and crowded and self.settings.tier == 0:
                 continue  # deeper down a refusal would only become a retry above
             server = self._pick(level, depth, request, chance)
@@ -143,7 +143,7 @@
 
     def _pick(self, level: list[Server], depth: int, request: Request, chance: float) -> Server | None:
         """A few even picks; what is not usable, or has no room, is passed over."""
-        if request.may_have_run() is not None:  # a retry that may only go to some servers
+        if request.first_possibly_run_attempt() is not None:  # a retry that may only go to some servers
             level = [s for s in level if request.may_send_to(s.endpoint, self.now)]
         tried = request.attempts[-1].server if request.attempts else None
         sheds = self.settings.tier == 0  # deeper down the last level takes what no server has room for
@@ -153,9 +153,9 @@
                     server.warming_up and self.now < server.next_call_ms):
                 continue
             zone = self.host_set.zones[server.endpoint.zone]
-            if depth > 0 and sheds and not zone.has_room(request.room, chance):
+            if depth > 0 and sheds and not zone.has_room(request.limit_share, chance):
                 continue
-            if (depth < 2 or sheds) and not zone.has_room(request.room, chance, server):
+            if (depth < 2 or sheds) and not zone.has_room(request.limit_share, chance, server):
                 continue
             if depth < 2 and not self._answers(server, request):
                 continue
@@ -165,20 +165,20 @@
 
     def _answers(self, server: Server, request: Request) -> bool:
         """Whether the server is known to answer; half open, it gets one repeatable call at a time."""
-        if server.consecutive_ejections and (server.calls or request.cls.effect is api.Effect.ONCE):
+        if server.consecutive_ejections and (server.calls or request.request_class.effect is api.Effect.ONCE):
             return False
         ejected_until = server.class_ejected_until
-        return not ejected_until or ejected_until.get(request.cls.name, 0.0) <= self.now
+        return not ejected_until or ejected_until.get(request.request_class.name, 0.0) <= self.now
 
     # Requests.
 
     def _arrived(self, event: api.RequestArrived) -> None:
-        cls = self.classes.get(event.class_name)
-        if cls is None:
+        request_class = self.classes.get(event.class_name)
+        if request_class is None:
             self.actions.append(api.Fail(event.id, api.GiveUpReason.UNKNOWN_CLASS))
             return
-        key = event.key if cls.in_order else ""
-        request = Request(event.id, cls, key, self.now + event.remaining_ms, cls.worth)
+        key = event.key if request_class.in_order else ""
+        request = Request(event.id, request_class, key, self.now + event.remaining_ms, request_class.worth)
         self.requests[event.id] = request
         self._rank(request, event.tenant)
         self.retry_tokens = min(RETRY_BURST, self.retry_tokens + RETRY_RATIO)
@@ -190,38 +190,38 @@
     def _line_up(self, request: Request) -> None:
         """Keep order: one request of a key at a time; the others wait, each to its own deadline."""
         line = self.lines.setdefault(request.key, KeyQueue())
-        line.held.append(request)
-        if line.held[0] is request and line.rests_until <= self.now:
+        line.queued_requests.append(request)
+        if line.queued_requests[0] is request and line.cooldown_until_ms <= self.now:
             self._attempt(request)
         else:
-            heapq.heappush(self.waiting, (request.deadline, request.id))
-            self.actions.append(api.SetTimer(request.deadline, "wait"))
+            heapq.heappush(self.waiting, (request.deadline_at_ms, request.id))
+            self.actions.append(api.SetTimer(request.deadline_at_ms, "wait"))
 
     def _take_turn(self, key: str) -> None:
         """Send the first request in line, unless the key rests or it was sent before."""
         line = self.lines.get(key)
-        if line is None or line.rests_until > self.now:
+        if line is None or line.cooldown_until_ms > self.now:
             return  # its timer comes back to it
-        if not line.held:
+        if not line.queued_requests:
             del self.lines[key]
-        elif not line.held[0].attempts:
-            self._attempt(line.held[0])
+        elif not line.queued_requests[0].attempts:
+            self._attempt(line.queued_requests[0])
 
     def _rank(self, request: Request, tenant: str) -> None:
         """What the request is worth here, and how much of a zone's limit is open to it."""
-        request.room = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
+        request.limit_share = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
         bucket = self.buckets.get(tenant)
         if bucket is None and tenant in self.tenants:
             quota = self.tenants[tenant].quota_per_s / self.settings.balancers
             bucket = self.buckets[tenant] = TenantQuota(quota / 1000.0, quota, self.now)
         if bucket is not None and not bucket.take(self.now):
             request.worth *= self.settings.over_share_worth
-            request.room *= OVER_SHARE_ROOM
+            request.limit_share *= OVER_SHARE_ROOM
         self.mean_worth += (request.worth - self.mean_worth) / 100.0
 
     def _attempt(self, request: Request) -> None:
         """Send the request's next attempt, or end the request where there is nowhere to send it."""
-        if request.deadline <= self.now:
+        if request.deadline_at_ms <= self.now:
             self._give_up(request, api.GiveUpReason.NO_TIME)
             return
         server = self._choose(request)
@@ -234,7 +234,7 @@
 
     def _send(self, request: Request, server: Server) -> None:
         zone = self.host_set.zones[server.endpoint.zone]
-        leave_within_ms = min(request.latest_repeat(), self.list_usable_until_ms) - self.now
+        leave_within_ms = min(request.retry_safe_until_ms(), self.list_usable_until_ms) - self.now
         attempt = Attempt(request.id, server, zone, self.now, self.now, server.ejections)
         request.attempts.append(attempt)
         server.calls[attempt] = None
@@ -242,7 +242,7 @@
         if server.warming_up:
             self.host_set.schedule_warm_up_call(server, 0.5, 1.5, self.now)
         self.actions.append(api.Send(
-            request.id, server.endpoint.id, request.deadline - self.now, leave_within_ms))
+            request.id, server.endpoint.id, request.deadline_at_ms - self.now, leave_within_ms))
 
     def _give_up(self, request: Request, reason: api.GiveUpReason) -> None:
         if request.may_refuse():
@@ -257,10 +257,10 @@
     def _close(self, request: Request) -> None:
         """The request is answered; it is forgotten once no attempt is out."""
         request.answered = True
-        if any(a.live for a in request.attempts) or self.requests.pop(request.id, None) is None:
+        if any(a.active for a in request.attempts) or self.requests.pop(request.id, None) is None:
             return
         if request.key:
-            self.lines[request.key].held.remove(request)
+            self.lines[request.key].queued_requests.remove(request)
             self.turns.append(request.key)
 
     def _ended(self, event: api.AttemptEnded) -> None:
@@ -268,34 +268,34 @@
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
-        if not attempt.live:
+        if not attempt.active:
             return
-        attempt.live, attempt.ran = False, event.outcome not in api.NEVER_RAN
-        attempt.left_ms = attempt.sent_ms + event.waited_ms
+        attempt.active, attempt.may_have_run = False, event.outcome not in api.NEVER_RAN
+        attempt.written_ms = attempt.sent_ms + event.waited_ms
         attempt.server.calls.pop(attempt, None)
         attempt.release()
-        if attempt.ejections == attempt.server.ejections and not attempt.hangs:  # else this is old news
+        if attempt.ejections == attempt.server.ejections and not attempt.is_hung:  # else this is old news
             self._teach(attempt.zone, request, event)
             self.outliers.record(attempt.server, request, event, self.now)
         if request.key and event.outcome in api.STILL_RUNS:
             # Guards order: the endpoint may be at work on it yet, so the key rests.
-            self.lines[request.key].rests_until = self.now + self.settings.rules.turn_gap_ms
-            self.rests.append((self.lines[request.key].rests_until, request.key))
+            self.lines[request.key].cooldown_until_ms = self.now + self.settings.rules.turn_gap_ms
+            self.rests.append((self.lines[request.key].cooldown_until_ms, request.key))
             self.actions.append(api.SetTimer(self.rests[-1][0], "turn"))
         if event.request_over or request.answered:
             self._close(request)
-        elif not any(a.live for a in request.attempts):
+        elif not any(a.active for a in request.attempts):
             self._again(request, event.outcome)
         else:  # what is still out hangs: it may yet come, so there is no final answer
             self._copy(request)
-        if event.outcome is api.Outcome.OK and not attempt.hangs:
-            self._overtake(attempt, request.cls)
+        if event.outcome is api.Outcome.OK and not attempt.is_hung:
+            self._overtake(attempt, request.request_class)
 
     def _teach(self, zone: Zone, request: Request, event: api.AttemptEnded) -> None:
-        cls = request.cls
+        request_class = request.request_class
         # The aim alone says what is late: the best times seen lie far under the ordinary ones.
         rejected = event.outcome is api.Outcome.REJECTED
-        lateness = 3.0 if rejected else event.served_ms / (TARGET * cls.aim_ms)
+        lateness = 3.0 if rejected else event.served_ms / (TARGET * request_class.aim_ms)
         # Guards against taking what failed early (a refused connection, a fault, little time left) for a zone
         # at ease: only an answer shows ease, the rest at most that it came so late.
         if event.outcome is api.Outcome.OK or (event.outcome not in UNREACHED and lateness > 1.0):
@@ -312,7 +312,7 @@
             self.retry_tokens -= cost
             self._attempt(request)
 
-    def _overtake(self, answered: Attempt, cls: api.RequestClass) -> None:
+    def _overtake(self, answered: Attempt, request_class: api.RequestClass) -> None:
         """Find the calls that hang: far over the usual time, at a server that answers later ones as usual.
 
         Guards against calls that were lost on the way or forgotten by the server: each would take a place in
@@ -320,17 +320,18 @@
         Could hurt where work differs much within a class: long calls then run twice.
         """
         latency = self.outliers.latency
-        if self.now - answered.sent_ms > latency.slow_ms(cls.name) or not latency.is_settled(cls.name):
+        if (self.now - answered.sent_ms > latency.slow_threshold_ms(request_class.name)
+                or not latency.has_enough_samples(request_class.name)):
             return
         hung = []
         for call in answered.server.calls:
             request = self.requests.get(call.request)
             if request is None or call.sent_ms >= answered.sent_ms:
                 break
-            if self.now - call.sent_ms > latency.hung_ms(request.cls.name):
+            if self.now - call.sent_ms > latency.hung_threshold_ms(request.request_class.name):
                 hung.append((call, request))
         for call, request in hung:
-            call.hangs = True
+            call.is_hung = True
             del call.server.calls[call]
             call.release()
             if call.ejections == call.server.ejections:
@@ -339,10 +340,12 @@
 
     def _copy(self, request: Request) -> None:
         """A second copy of a request whose call hangs, where the class and the budget allow one."""
-        cls, limits = request.cls, self.settings.limits
-        if (request.answered or not limits.concurrent_attempts or cls.in_order or cls.stream
+        request_class, limits = request.request_class, self.settings.limits
+        if (request.answered or not limits.concurrent_attempts
+                or request_class.in_order or request_class.stream
                 or len(request.attempts) >= limits.max_attempts or self.retry_tokens < 1.0
-                or any(a.live and not a.hangs for a in request.attempts) or request.deadline <= self.now):
+                or any(a.active and not a.is_hung for a in request.attempts)
+                or request.deadline_at_ms <= self.now):
             return
         server = self._choose(request)
         if server is not None:
--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -17,7 +17,7 @@
 from honeywharf.net.list_expiry import ListExpiry
 from honeywharf.net.log import log
 from honeywharf.net.watch_connection import WatchConnection
-from honeywharf.policy.list_freshness import CONTINUATION_GAP_MS, ListFreshness
+from honeywharf.policy.list_freshness import MAX_POLL_GAP_MS, ListFreshness
 
 PATH = "/registry/instances"
 CONNECT_TIMEOUT_MS = 1000.0
@@ -164,7 +164,7 @@
 
     def figures(self) -> str:
         """How the list held stands, in a few words: its generation, its age, and the poll in flight."""
-        age_s = (self.clock.now() - self.freshness.current_at_ms) / 1000.0
+        age_s = (self.clock.now() - self.freshness.last_known_current_ms) / 1000.0
         age = f"{age_s:.2f} s" if age_s < float("inf") else "unknown"
         poll = f" {self._poll_figures(self.poll)}" if self.poll is not None else ""
         return (f"generation={self.directory.generation} endpoints={len(self.directory.endpoint_ids)} "
@@ -196,9 +196,9 @@
         now = self.clock.now()
         self.polls += 1
         poll = self.poll = Poll(self.polls, now, full=self.full_list_requested)
-        if not poll.full and now <= self.last_answer_ms + CONTINUATION_GAP_MS:
+        if not poll.full and now <= self.last_answer_ms + MAX_POLL_GAP_MS:
             poll.long, poll.wait_ms = True, self.freshness.wait_ms(now)
-            poll.watch_stands = self.freshness.watch_stands(now)
+            poll.watch_stands = self.freshness.is_watch_active(now)
         self._set_poll_timer(self._poll_timeout_ms(poll) / 1000.0, self._poll_timed_out)
         host = f"{self.address[0]}:{self.address[1]}"
         transport.write(f"GET {self._poll_target(poll)} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
@@ -282,7 +282,7 @@
     def _answer_incomplete(self, poll: Poll) -> None:
         """Have nothing sent until the rest of a slow answer has come, or another one in its place."""
         began_ms = poll.answer_began_ms
-        newer = began_ms is not None and self.freshness.current_at_ms > began_ms
+        newer = began_ms is not None and self.freshness.last_known_current_ms > began_ms
         if not self.expiry.overdue and not newer:
             self._expire(f"an answer has come in part, on {self._poll_figures(poll)}")
 
@@ -294,8 +294,8 @@
         event = self.directory.apply(orjson.loads(response.body), api.ListKind.FULL if poll.full else None)
         unchanged = (
             event.kind is api.ListKind.CHANGES and not event.endpoints and event.serial == generation)
-        self.freshness.confirm_answer(
-            poll.sent_ms, poll.wait_ms, unchanged=unchanged, now=self.clock.now())
+        self.freshness.record_answer(
+            poll.sent_ms, poll.wait_ms, unchanged=unchanged, now_ms=self.clock.now())
         return replace(event, usable_until_ms=self.freshness.expires_ms)
 
     def _watch_ended(self, poll: Poll) -> None:
--- a/honeywharf/policy/outlier.py
+++ b/honeywharf/policy/outlier.py
@@ -39,15 +39,15 @@
         expected = self.expected_ms.get(class_name, latency_ms)
         self.expected_ms[class_name] = expected + (latency_ms - expected) / samples
 
-    def slow_ms(self, class_name: str) -> float:
+    def slow_threshold_ms(self, class_name: str) -> float:
         """The latency beyond which an answer is slow; zero before the first answer."""
         return SLOW_LATENCY * self.expected_ms.get(class_name, 0.0)
 
-    def is_settled(self, class_name: str) -> bool:
+    def has_enough_samples(self, class_name: str) -> bool:
         """Whether the expected latency is formed of enough answers to find calls that hang by it."""
         return self.samples.get(class_name, 0) >= BASELINE_ANSWERS
 
-    def hung_ms(self, class_name: str) -> float:
+    def hung_threshold_ms(self, class_name: str) -> float:
         """The age beyond which a call counts as hung; infinite before the first answer."""
         return HUNG_LATENCY * self.expected_ms.get(class_name, float("inf"))
 
@@ -60,7 +60,7 @@
         self.random = rng
         self.latency = LatencyBaseline()
 
-    def record(self, server: Server, request: Request, event: api.AttemptEnded, now: float) -> None:
+    def record(self, server: Server, request: Request, event: api.AttemptEnded, now_ms: float) -> None:
         """Take in how an attempt ended, and eject a server whose recent calls failed or came far too late."""
         outcome = event.outcome
         if outcome in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT):
@@ -68,33 +68,33 @@
         if self._had_short_deadline(request, event):
             return
         if outcome is api.Outcome.REJECTED:
-            self._record_failure(server, request.cls.name, outcome, now)
+            self._record_failure(server, request.request_class.name, outcome, now_ms)
             # Guards against filling each slot of an overloaded server at the moment it frees.
-            if server.ejected_until <= now and self.host_set.can_spare(server):
-                self.eject(server, OVERLOAD_EJECTION_MS, now)
+            if server.ejected_until <= now_ms and self.host_set.can_spare(server):
+                self.eject(server, OVERLOAD_EJECTION_MS, now_ms)
             return
         self._update_failure_rate(server, failed=outcome is not api.Outcome.OK)
         score_step = MAX_SCORE_STEP
         if outcome is api.Outcome.OK:
-            score_step = self._record_success(server, request.cls.name, event.served_ms)
+            score_step = self._record_success(server, request.request_class.name, event.served_ms)
         else:
-            self._record_failure(server, request.cls.name, outcome, now)
-        self._add_score(server, score_step, now, dead=outcome is api.Outcome.CONNECT_FAILED)
+            self._record_failure(server, request.request_class.name, outcome, now_ms)
+        self._add_score(server, score_step, now_ms, dead=outcome is api.Outcome.CONNECT_FAILED)
 
-    def record_hung_call(self, server: Server, now: float) -> None:
+    def record_hung_call(self, server: Server, now_ms: float) -> None:
         """Take in that a call hangs at the server while it answers later ones."""
-        self._add_score(server, MAX_SCORE_STEP, now)
+        self._add_score(server, MAX_SCORE_STEP, now_ms)
 
-    def eject(self, server: Server, base_ms: float, now: float) -> None:
+    def eject(self, server: Server, base_ms: float, now_ms: float) -> None:
         """Take the server out for a while; the first calls after that are trials, one at a time."""
         backoff = 2 ** min(server.consecutive_ejections, MAX_EJECTION_DOUBLINGS)
-        server.ejected_until = now + base_ms * backoff * self.random.uniform(*EJECTION_JITTER)
+        server.ejected_until = now_ms + base_ms * backoff * self.random.uniform(*EJECTION_JITTER)
         server.ejections += 1
         for call in server.calls:  # they no longer hold others up
             call.release()
         server.anomaly_score = EJECTION_SCORE / 2
         server.consecutive_ejections += 1
-        self.host_set.refresh(now)
+        self.host_set.refresh(now_ms)
 
     def _update_failure_rate(self, server: Server, *, failed: bool) -> None:
         sample = 1.0 if failed else 0.0
@@ -116,7 +116,7 @@
             server.consecutive_ejections = 0
         return score_step
 
-    def _record_failure(self, server: Server, class_name: str, outcome: api.Outcome, now: float) -> None:
+    def _record_failure(self, server: Server, class_name: str, outcome: api.Outcome, now_ms: float) -> None:
         errors = 0
         if outcome is api.Outcome.ERROR:
             errors = server.class_errors[class_name] = server.class_errors.get(class_name, 0) + 1
@@ -126,19 +126,19 @@
             # Guards against a server that answers none of a class, or with errors: trial calls of one that it
             # serves would bring it back for all. A single time-out may be a connection that has gone dead.
             duration_ms = CLASS_EJECTION_MS * self.random.uniform(*EJECTION_JITTER)
-            server.class_ejected_until[class_name] = now + duration_ms
+            server.class_ejected_until[class_name] = now_ms + duration_ms
         # A refused connection shows a dead process; one that did not come up in time may be chance.
         server.consecutive_failures += 2 if outcome is api.Outcome.CONNECT_FAILED else 1
 
-    def _add_score(self, server: Server, score_step: float, now: float, *, dead: bool = False) -> None:
+    def _add_score(self, server: Server, score_step: float, now_ms: float, *, dead: bool = False) -> None:
         """Add to the anomaly score, and eject if it is enough; a dead server even if none can be spared."""
         server.anomaly_score = max(0.0, server.anomaly_score + score_step)
         is_outlier = (
             server.consecutive_failures >= CONSECUTIVE_FAILURES or server.anomaly_score >= EJECTION_SCORE)
         # Guards against emptying a zone for what a tier behind all its servers gets wrong.
-        if server.ejected_until <= now and is_outlier and (
+        if server.ejected_until <= now_ms and is_outlier and (
                 dead or self.host_set.can_spare(server) or self._stands_out(server)):
-            self.eject(server, BASE_EJECTION_MS, now)
+            self.eject(server, BASE_EJECTION_MS, now_ms)
 
     def _had_short_deadline(self, request: Request, event: api.AttemptEnded) -> bool:
         """Whether the attempt failed for the little time that its caller had left.
@@ -149,8 +149,8 @@
         """
         if event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.ERROR):
             return False
-        given_ms = request.deadline - request.attempts[event.attempt].sent_ms
-        return given_ms < self.latency.slow_ms(request.cls.name)
+        given_ms = request.deadline_at_ms - request.attempts[event.attempt].sent_ms
+        return given_ms < self.latency.slow_threshold_ms(request.request_class.name)
 
     def _stands_out(self, server: Server) -> bool:
         """Whether it fails far more than the other servers do, and half of all stay usable without it.
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -26,17 +26,17 @@
     server: Server
     zone: Zone
     sent_ms: float
-    left_ms: float  # when its bytes left, as far as is known
+    written_ms: float  # when its bytes left, as far as is known
     ejections: int  # of the server when it was sent
-    live: bool = True
-    ran: bool = True
-    counts: bool = True  # among the calls in flight of its zone
-    hangs: bool = False
+    active: bool = True
+    may_have_run: bool = True
+    counted_in_flight: bool = True  # among the calls in flight of its zone
+    is_hung: bool = False
 
     def release(self) -> None:
         """Take it off its zone's calls in flight, once: the figure stays the sum of the calls that count."""
-        if self.counts:
-            self.counts = False
+        if self.counted_in_flight:
+            self.counted_in_flight = False
             self.zone.in_flight -= 1
 
 
@@ -44,8 +44,8 @@
 class KeyQueue:
     """The requests of ordered classes that share a key, in arrival order: only the first may be sent."""
 
-    held: deque[Request] = field(default_factory=deque)
-    rests_until: float = 0.0  # an attempt that may still run ended so short a time ago
+    queued_requests: deque[Request] = field(default_factory=deque)
+    cooldown_until_ms: float = 0.0  # an attempt that may still run ended so short a time ago
 
 
 @dataclass(slots=True, eq=False)
@@ -53,38 +53,38 @@
     """A request with its attempts: it is kept until it is answered and its last attempt has ended."""
 
     id: str
-    cls: api.RequestClass
+    request_class: api.RequestClass
     key: str  # of its queue; empty where no order is asked
-    deadline: float
+    deadline_at_ms: float
     worth: float
-    room: float = 1.0  # part of a zone's limit that is open to it
+    limit_share: float = 1.0  # part of a zone's limit that is open to it
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
 
-    def may_have_run(self) -> Attempt | None:
+    def first_possibly_run_attempt(self) -> Attempt | None:
         """The first attempt that is not proven never to have run."""
-        return next((a for a in self.attempts if a.ran), None)
+        return next((a for a in self.attempts if a.may_have_run), None)
 
-    def may_send_to(self, endpoint: api.Endpoint, now: float) -> bool:
+    def may_send_to(self, endpoint: api.Endpoint, now_ms: float) -> bool:
         """Whether a further attempt there could not have an effect twice."""
-        first, cls = self.may_have_run(), self.cls
-        if first is None or cls.effect is api.Effect.REPEATABLE:
+        first, request_class = self.first_possibly_run_attempt(), self.request_class
+        if first is None or request_class.effect is api.Effect.REPEATABLE:
             return True
-        if cls.effect is api.Effect.ONCE or now >= first.left_ms + cls.window_ms:
+        if request_class.effect is api.Effect.ONCE or now_ms >= first.written_ms + request_class.window_ms:
             return False
         held = first.server.endpoint
-        return (cls.scope is api.DedupeScope.ALL or held.zone == endpoint.zone) and (
-            cls.scope is not api.DedupeScope.CELL or held.cell == endpoint.cell)
+        return (request_class.scope is api.DedupeScope.ALL or held.zone == endpoint.zone) and (
+            request_class.scope is not api.DedupeScope.CELL or held.cell == endpoint.cell)
 
-    def latest_repeat(self) -> float:
+    def retry_safe_until_ms(self) -> float:
         """Until when a further attempt may leave without the risk of an effect twice."""
-        first = self.may_have_run()
-        if first is None or self.cls.effect is not api.Effect.KEYED:
+        first = self.first_possibly_run_attempt()
+        if first is None or self.request_class.effect is not api.Effect.KEYED:
             return math.inf
-        return first.left_ms + self.cls.window_ms
+        return first.written_ms + self.request_class.window_ms
 
     def may_refuse(self) -> bool:
         """Whether a refusal, which tells the client that a repeat is harmless, would be true."""
-        cls = self.cls
-        return cls.effect is api.Effect.REPEATABLE or self.may_have_run() is None or (
-            cls.effect is api.Effect.KEYED and cls.scope is api.DedupeScope.ALL)
+        request_class = self.request_class
+        return request_class.effect is api.Effect.REPEATABLE or self.first_possibly_run_attempt() is None or (
+            request_class.effect is api.Effect.KEYED and request_class.scope is api.DedupeScope.ALL)
--- a/tests/test_hang.py
+++ b/tests/test_hung_calls.py
@@ -23,7 +23,7 @@
             backend.came.clear()
             name = other.send("order", b"hangs")
             await until(lambda: backend.came.is_set())
-            while not any(a.hangs for r in balancer.requests.values() for a in r.attempts):
+            while not any(a.is_hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("order", b"x")
                 assert await client.status() == 200
             assert await other.status() == 200  # long before its time is up
@@ -51,7 +51,7 @@
             backend.came.clear()
             other.send("pay", b"hangs", "1500m")
             await until(lambda: backend.came.is_set())
-            while not any(a.hangs for r in balancer.requests.values() for a in r.attempts):
+            while not any(a.is_hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("pay", b"x")
                 assert await client.status() == 200
             assert await other.status() == 502
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -144,10 +144,10 @@
             if isinstance(action, api.Send):
                 out.append((action.request, tried.get(action.request, 0), now))
                 tried[action.request] = tried.get(action.request, 0) + 1
-        live = [a for r in balancer.requests.values() for a in r.attempts if a.live]
-        assert len(live) == len(out)
+        active = [a for r in balancer.requests.values() for a in r.attempts if a.active]
+        assert len(active) == len(out)
         for zone in balancer.host_set.zones.values():
-            assert zone.in_flight == sum(a.counts for a in live if a.zone is zone) >= 0
+            assert zone.in_flight == sum(a.counted_in_flight for a in active if a.zone is zone) >= 0
     for request, attempt, sent in out:
         balancer.handle(now, api.AttemptEnded(request, attempt, api.Outcome.TIMEOUT, now - sent, True))
     assert [z.in_flight for z in balancer.host_set.zones.values()] == [0] * len(balancer.host_set.zones)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -11,7 +11,7 @@
 import pytest
 
 from honeywharf import interface as api
-from honeywharf.policy.list_freshness import LONGEST_WAIT_MS, MAX_AGE_MS, SHORTEST_WAIT_MS, ListFreshness
+from honeywharf.policy.list_freshness import MAX_AGE_MS, MAX_WAIT_MS, MIN_WAIT_MS, ListFreshness
 from tests.helpers import TWO_ZONES, Driver, only_refusal, only_send
 from tests.loopback import Backend, Client, World, reply, row, run, started_world, until, world
 
@@ -21,13 +21,13 @@
 def test_an_answer_counts_from_its_poll_and_word_of_no_change_from_the_end_of_the_wait() -> None:
     freshness = ListFreshness()
     assert not freshness.is_usable(0.0)
-    freshness.confirm_answer(1000.0, 0.0, unchanged=True, now=4400.0)  # stood in discovery's queue
+    freshness.record_answer(1000.0, 0.0, unchanged=True, now_ms=4400.0)  # stood in discovery's queue
     assert freshness.expires_ms == 1000.0 + MAX_AGE_MS
-    freshness.confirm_answer(4400.0, 1000.0, unchanged=True, now=4900.0)  # ended before its wait was over
+    freshness.record_answer(4400.0, 1000.0, unchanged=True, now_ms=4900.0)  # ended before its wait was over
     assert freshness.expires_ms == 4400.0 + MAX_AGE_MS
-    freshness.confirm_answer(5000.0, 1000.0, unchanged=True, now=9000.0)  # was under way for 3 s
+    freshness.record_answer(5000.0, 1000.0, unchanged=True, now_ms=9000.0)  # was under way for 3 s
     assert freshness.expires_ms == 6000.0 + MAX_AGE_MS
-    freshness.confirm_answer(9000.0, 4000.0, unchanged=False, now=9800.0)
+    freshness.record_answer(9000.0, 4000.0, unchanged=False, now_ms=9800.0)
     assert freshness.expires_ms == 9000.0 + MAX_AGE_MS
     assert freshness.is_usable(9000.0 + MAX_AGE_MS - 1.0)
     assert not freshness.is_usable(9000.0 + MAX_AGE_MS)
@@ -37,19 +37,19 @@
     ("ask_every_ms", "max_age_ms"), [(0.0, MAX_AGE_MS), (1e4, MAX_AGE_MS), (3000.0, 3000.0), (50.0, 2000.0)])
 def test_a_poll_waits_no_longer_than_the_list_may_be_used(ask_every_ms: float, max_age_ms: float) -> None:
     freshness = ListFreshness(ask_every_ms)
-    freshness.confirm(100_000.0)
+    freshness.mark_current(100_000.0)
     assert freshness.expires_ms == 100_000.0 + max_age_ms
     for age_ms in range(0, int(max_age_ms), 50):
         wait_ms = freshness.wait_ms(100_000.0 + age_ms)
-        assert SHORTEST_WAIT_MS <= wait_ms <= LONGEST_WAIT_MS
-        assert wait_ms == SHORTEST_WAIT_MS or age_ms + wait_ms <= 0.75 * max_age_ms
+        assert MIN_WAIT_MS <= wait_ms <= MAX_WAIT_MS
+        assert wait_ms == MIN_WAIT_MS or age_ms + wait_ms <= 0.75 * max_age_ms
 
 
 def test_a_poll_that_falls_silent_is_given_up_while_the_list_may_still_be_used() -> None:
     """Whether or not it may have begun a new watch; there it has as long as can be, for discovery's queue."""
     for age_ms in range(0, 4500, 50):
         freshness = ListFreshness()
-        freshness.confirm(0.0)
+        freshness.mark_current(0.0)
         wait_ms = freshness.wait_ms(age_ms)
         timeout_ms = freshness.long_poll_timeout_ms(age_ms, wait_ms)
         assert timeout_ms >= wait_ms + 500.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -371,7 +371,7 @@
 
     def _take_turn(self, key: str) -> None:
         if key in self.lines:
-            self.lines[key].rests_until = 0.0
+            self.lines[key].cooldown_until_ms = 0.0
         super()._take_turn(key)
 
 
