--- a/honeywharf/policy/outlier.py
+++ b/honeywharf/policy/outlier.py
@@ -1,4 +1,7 @@
-"""Outlier detection and ejection: which servers fail, or answer late, and for how long they get no calls."""
+"""Outlier detection: finds the servers that fail or answer too slowly, and ejects them for a limited time.
+
+A relative latency is a latency divided by the expected latency of its request class.
+"""
 
 from __future__ import annotations
 
@@ -9,51 +12,66 @@
 from honeywharf.policy.request import Request
 from honeywharf.policy.server import Server
 
-CONSECUTIVE_FAILURES = 4  # that eject; a refused connection counts twice: a dead process refuses the next too
-SLOW_LATENCY = 1.7  # relative latency: what is beyond adds to the anomaly score, less takes from it
-MAX_SCORE_STEP = 3.0  # what one call can add, a failed one included: no server is judged by a single call
-EJECTION_SCORE = 6.0  # anomaly score that ejects: by chance alone about once in some hundred calls
-FAILURE_RATE_CALLS = 6  # calls over which the failure rate is formed
-OUTLIER_FAILURE_RATE = 0.25  # over twice what is usual: a server that fails so many of its calls stands out
-BASE_EJECTION_MS = 2500.0  # first ejection: long enough for a crowded server to empty
-MAX_EJECTION_DOUBLINGS = 2  # by consecutive ejections: at most four times the first duration
-EJECTION_JITTER = (0.75, 1.25)  # random factor of each duration
-OVERLOAD_EJECTION_MS = 1000.0  # after a rejection: a full server needs that long to work its queue down
-RELATIVE_LATENCY_ANSWERS = 6  # answers over which a server's relative latency is formed
-CLASS_EJECTION_MS = 10000.0  # without calls of a class that got no answer: each trial may cost a request
-CONSECUTIVE_CLASS_ERRORS = 2  # errors in a row of one class: one alone may be chance, or a tier behind
-HUNG_LATENCY = 3.0  # relative latency: about one answer in some hundred comes that late by chance
-BASELINE_ANSWERS = 30  # answers over which the expected latency of a class is formed
+# This many consecutive failures make a server an outlier. A refused connection counts as two, because a
+# process that is dead refuses the next connection too.
+CONSECUTIVE_FAILURES_TO_EJECT = 4
+# The relative latency that leaves the anomaly score unchanged. A slower answer raises the score by the
+# difference, a faster one lowers it.
+SLOW_RELATIVE_LATENCY = 1.7
+# The most that one call, even a failed one, adds to the anomaly score, so that no server is judged by a
+# single call.
+MAX_SCORE_STEP = 3.0
+# The anomaly score that makes a server an outlier. A healthy server reaches it by chance about once in a few
+# hundred calls.
+EJECTION_SCORE = 6.0
+FAILURE_RATE_WINDOW_CALLS = 6  # length of the running mean
+# A server stands out if its failure rate exceeds twice the mean rate of the other servers by this much.
+OUTLIER_FAILURE_RATE_MARGIN = 0.25
+BASE_EJECTION_MS = 2500.0  # the first ejection: an overloaded server works off its queue within this time
+MAX_EJECTION_DOUBLINGS = 2  # consecutive ejections last up to four times as long as the first
+EJECTION_JITTER = (0.75, 1.25)  # bounds of the random factor of each duration
+OVERLOAD_EJECTION_MS = 1000.0  # after a rejection: a full server needs this long to work its queue down
+RELATIVE_LATENCY_WINDOW_ANSWERS = 6  # length of the running mean of a server
+# How long a server gets no calls of a class whose calls have timed out or failed there. This is long because
+# each trial call may cost a request.
+CLASS_EJECTION_MS = 10000.0
+# This many consecutive errors eject a server for one class. A single error may be chance, or the fault of a
+# tier behind the server.
+CONSECUTIVE_CLASS_ERRORS_TO_EJECT = 2
+# The relative latency from which a call is considered hung. About one answer in a few hundred is that late by
+# chance.
+HUNG_RELATIVE_LATENCY = 3.0
+BASELINE_WINDOW_ANSWERS = 30  # length of the running mean of a class
 
 
 class LatencyBaseline:
-    """The expected latency of each request class: a running mean over all servers."""
+    """The expected latency of each request class: a running mean over the answers of all servers."""
 
     def __init__(self) -> None:
         self.expected_ms: dict[str, float] = {}
-        self.samples: dict[str, int] = {}  # answers that the mean is formed of, up to its length
+        self.samples: dict[str, int] = {}  # answers in each mean, at most BASELINE_WINDOW_ANSWERS
 
     def add(self, class_name: str, latency_ms: float) -> None:
-        """Take in the latency of one answer."""
-        samples = self.samples[class_name] = min(BASELINE_ANSWERS, self.samples.get(class_name, 0) + 1)
-        expected = self.expected_ms.get(class_name, latency_ms)
-        self.expected_ms[class_name] = expected + (latency_ms - expected) / samples
+        """Add the latency of one answer to the mean of its class."""
+        samples = self.samples[class_name] = min(BASELINE_WINDOW_ANSWERS, self.samples.get(class_name, 0) + 1)
+        mean_ms = self.expected_ms.get(class_name, latency_ms)
+        self.expected_ms[class_name] = mean_ms + (latency_ms - mean_ms) / samples
 
     def slow_threshold_ms(self, class_name: str) -> float:
-        """The latency beyond which an answer is slow; zero before the first answer."""
-        return SLOW_LATENCY * self.expected_ms.get(class_name, 0.0)
+        """Return the latency beyond which an answer is slow; zero before the first answer of the class."""
+        return SLOW_RELATIVE_LATENCY * self.expected_ms.get(class_name, 0.0)
 
     def has_enough_samples(self, class_name: str) -> bool:
-        """Whether the expected latency is formed of enough answers to find calls that hang by it."""
-        return self.samples.get(class_name, 0) >= BASELINE_ANSWERS
+        """Return whether the mean covers enough answers to tell hung calls from slow ones."""
+        return self.samples.get(class_name, 0) >= BASELINE_WINDOW_ANSWERS
 
     def hung_threshold_ms(self, class_name: str) -> float:
-        """The age beyond which a call counts as hung; infinite before the first answer."""
-        return HUNG_LATENCY * self.expected_ms.get(class_name, float("inf"))
+        """Return the age beyond which a call is considered hung; infinite before the first answer."""
+        return HUNG_RELATIVE_LATENCY * self.expected_ms.get(class_name, float("inf"))
 
 
 class OutlierDetector:
-    """Keeps the health of each server by its calls, and ejects from the host set those that stand out."""
+    """Tracks the health of each server by the outcomes of its calls, and ejects the outliers."""
 
     def __init__(self, host_set: HostSet, rng: random.Random) -> None:
         self.host_set = host_set
@@ -61,7 +79,7 @@
         self.latency = LatencyBaseline()
 
     def record(self, server: Server, request: Request, event: api.AttemptEnded, now_ms: float) -> None:
-        """Take in how an attempt ended, and eject a server whose recent calls failed or came far too late."""
+        """Record how an attempt ended, and eject the server if its recent calls make it an outlier."""
         outcome = event.outcome
         if outcome in (api.Outcome.CANCELLED, api.Outcome.NOT_SENT):
             return
@@ -69,7 +87,8 @@
             return
         if outcome is api.Outcome.REJECTED:
             self._record_failure(server, request.request_class.name, outcome, now_ms)
-            # Guards against filling each slot of an overloaded server at the moment it frees.
+            # Without a pause, an overloaded server would be sent a new call whenever it finishes one, and
+            # would stay full.
             if server.ejected_until <= now_ms and self.host_set.can_spare(server):
                 self.eject(server, OVERLOAD_EJECTION_MS, now_ms)
             return
@@ -79,18 +98,22 @@
             score_step = self._record_success(server, request.request_class.name, event.served_ms)
         else:
             self._record_failure(server, request.request_class.name, outcome, now_ms)
-        self._add_score(server, score_step, now_ms, dead=outcome is api.Outcome.CONNECT_FAILED)
+        self._add_score(server, score_step, now_ms, connect_failed=outcome is api.Outcome.CONNECT_FAILED)
 
     def record_hung_call(self, server: Server, now_ms: float) -> None:
-        """Take in that a call hangs at the server while it answers later ones."""
+        """Record that a call at the server is hung: the server has answered later calls in normal time."""
         self._add_score(server, MAX_SCORE_STEP, now_ms)
 
     def eject(self, server: Server, base_ms: float, now_ms: float) -> None:
-        """Take the server out for a while; the first calls after that are trials, one at a time."""
+        """Eject the server for a time that doubles with each consecutive ejection.
+
+        Afterwards the balancer sends it trial calls, one at a time, until one of them succeeds.
+        """
         backoff = 2 ** min(server.consecutive_ejections, MAX_EJECTION_DOUBLINGS)
         server.ejected_until = now_ms + base_ms * backoff * self.random.uniform(*EJECTION_JITTER)
         server.ejections += 1
-        for call in server.calls:  # they no longer hold others up
+        # Calls in flight at an ejected server must not use up the concurrency limit of its zone.
+        for call in server.calls:
             call.release()
         server.anomaly_score = EJECTION_SCORE / 2
         server.consecutive_ejections += 1
@@ -98,69 +121,75 @@
 
     def _update_failure_rate(self, server: Server, *, failed: bool) -> None:
         sample = 1.0 if failed else 0.0
-        known = sample if server.failure_rate is None else server.failure_rate
-        server.failure_rate = known + (sample - known) / FAILURE_RATE_CALLS
+        rate = sample if server.failure_rate is None else server.failure_rate
+        server.failure_rate = rate + (sample - rate) / FAILURE_RATE_WINDOW_CALLS
 
     def _record_success(self, server: Server, class_name: str, latency_ms: float) -> float:
-        """Take in an answer; returns what it adds to the anomaly score, which is negative for a fast one."""
-        expected = self.latency.expected_ms.get(class_name, latency_ms)
-        relative = min(latency_ms / max(expected, 1.0), MAX_SCORE_STEP + SLOW_LATENCY)
-        server.relative_latency += (relative - server.relative_latency) / RELATIVE_LATENCY_ANSWERS
+        """Record an answer and return its step of the anomaly score, which is negative for a fast answer."""
+        mean_ms = self.latency.expected_ms.get(class_name, latency_ms)
+        relative = min(latency_ms / max(mean_ms, 1.0), MAX_SCORE_STEP + SLOW_RELATIVE_LATENCY)
+        server.relative_latency += (relative - server.relative_latency) / RELATIVE_LATENCY_WINDOW_ANSWERS
         self.latency.add(class_name, latency_ms)
         server.consecutive_failures = 0
         server.class_ejected_until.pop(class_name, None)
         server.class_errors.pop(class_name, None)
         self.host_set.answer_rate.answers += 1
-        score_step = relative - SLOW_LATENCY
+        score_step = relative - SLOW_RELATIVE_LATENCY
         if score_step < 0:
             server.consecutive_ejections = 0
         return score_step
 
-    def _record_failure(self, server: Server, class_name: str, outcome: api.Outcome, now_ms: float) -> None:
+    def _record_failure(
+            self, server: Server, class_name: str, outcome: api.Outcome, now_ms: float) -> None:
         errors = 0
         if outcome is api.Outcome.ERROR:
             errors = server.class_errors[class_name] = server.class_errors.get(class_name, 0) + 1
         timed_out_again = outcome is api.Outcome.TIMEOUT and server.consecutive_failures > 0
-        if timed_out_again or (errors >= CONSECUTIVE_CLASS_ERRORS and (
+        if timed_out_again or (errors >= CONSECUTIVE_CLASS_ERRORS_TO_EJECT and (
                 class_name in server.class_ejected_until or self._stands_out(server))):
-            # Guards against a server that answers none of a class, or with errors: trial calls of one that it
-            # serves would bring it back for all. A single time-out may be a connection that has gone dead.
+            # A server may fail only one class, with timeouts or errors. If it were ejected for all classes, a
+            # successful trial call of another class would readmit it for all of them. A single timeout
+            # doesn't eject, because it may come from a dead connection.
             duration_ms = CLASS_EJECTION_MS * self.random.uniform(*EJECTION_JITTER)
             server.class_ejected_until[class_name] = now_ms + duration_ms
-        # A refused connection shows a dead process; one that did not come up in time may be chance.
+        # A refused connection means a dead process; one that timed out while connecting may be chance.
         server.consecutive_failures += 2 if outcome is api.Outcome.CONNECT_FAILED else 1
 
-    def _add_score(self, server: Server, score_step: float, now_ms: float, *, dead: bool = False) -> None:
-        """Add to the anomaly score, and eject if it is enough; a dead server even if none can be spared."""
+    def _add_score(
+            self, server: Server, score_step: float, now_ms: float, *, connect_failed: bool = False) -> None:
+        """Add to the anomaly score, and eject the server if it is now an outlier."""
         server.anomaly_score = max(0.0, server.anomaly_score + score_step)
         is_outlier = (
-            server.consecutive_failures >= CONSECUTIVE_FAILURES or server.anomaly_score >= EJECTION_SCORE)
-        # Guards against emptying a zone for what a tier behind all its servers gets wrong.
+            server.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
+            or server.anomaly_score >= EJECTION_SCORE)
+        # Errors of a tier behind all servers of a zone must not empty the zone. A server whose connections
+        # fail is ejected in any case, because its process is dead.
         if server.ejected_until <= now_ms and is_outlier and (
-                dead or self.host_set.can_spare(server) or self._stands_out(server)):
+                connect_failed or self.host_set.can_spare(server) or self._stands_out(server)):
             self.eject(server, BASE_EJECTION_MS, now_ms)
 
     def _had_short_deadline(self, request: Request, event: api.AttemptEnded) -> bool:
-        """Whether the attempt failed for the little time that its caller had left.
+        """Return whether the attempt failed with too little time before its deadline to blame the server.
 
-        Guards against ejecting sound servers of this tier for callers with short deadlines, or for time used
-        up in the tiers above. Could hurt where all callers are such: only broken connections then show who
-        fails.
+        Otherwise healthy servers of this tier would be ejected because callers set short deadlines, or
+        because the tiers above used up the time. The drawback: if all callers set short deadlines, only
+        broken connections reveal a failing server.
         """
         if event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.ERROR):
             return False
-        given_ms = request.deadline_at_ms - request.attempts[event.attempt].sent_ms
-        return given_ms < self.latency.slow_threshold_ms(request.request_class.name)
+        available_ms = request.deadline_at_ms - request.attempts[event.attempt].sent_ms
+        return available_ms < self.latency.slow_threshold_ms(request.request_class.name)
 
     def _stands_out(self, server: Server) -> bool:
-        """Whether it fails far more than the other servers do, and half of all stay usable without it.
+        """Return whether the server fails far more than the others, and half of all stay usable without it.
 
-        Guards against a failing server that stays in as another one is out: it fails fast, so it always has
-        room, and draws the calls. What fails alike everywhere stands out nowhere.
+        Such a server is ejected even if its zone has no server to spare. If it stayed in because another
+        server is ejected already, it would attract most calls, as it fails fast and so always has free
+        capacity. Failures that all servers share don't make any of them stand out.
         """
-        others = [
+        other_rates = [
             s.failure_rate for s in self.host_set.servers.values()
             if s is not server and s.failure_rate is not None]
-        usual = sum(others) / len(others) if others else 1.0
-        is_failing = (server.failure_rate or 0.0) > OUTLIER_FAILURE_RATE + 2.0 * usual
+        mean_rate = sum(other_rates) / len(other_rates) if other_rates else 1.0
+        is_failing = (server.failure_rate or 0.0) > OUTLIER_FAILURE_RATE_MARGIN + 2.0 * mean_rate
         return is_failing and self.host_set.keeps_half_without_one()
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -1,6 +1,6 @@
-"""Requests, their attempts and the queues of ordered requests that share a key.
+"""Requests, their attempts, and the queues of ordered requests that share a key.
 
-A request knows where a further attempt is safe: by its effect, its deduplication scope and its idempotency
+A request decides where a further attempt is safe, by its effect, its deduplication scope and its idempotency
 window.
 """
 
@@ -20,21 +20,21 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at one server. `ran` is False once it is proven never to have run."""
+    """One attempt of a request at one server."""
 
-    request: str
+    request: str  # the request's id
     server: Server
     zone: Zone
-    sent_ms: float
-    written_ms: float  # when its bytes left, as far as is known
-    ejections: int  # of the server when it was sent
-    active: bool = True
-    may_have_run: bool = True
-    counted_in_flight: bool = True  # among the calls in flight of its zone
+    sent_ms: float  # when the balancer decided to send it
+    written_ms: float  # when it was written to the socket; equals `sent_ms` until the attempt has ended
+    ejections: int  # the server's count of ejections at `sent_ms`
+    active: bool = True  # its outcome has not been reported yet
+    may_have_run: bool = True  # False once the outcome proves that the server did not run it
+    counted_in_flight: bool = True  # it is included in `Zone.in_flight`
     is_hung: bool = False
 
     def release(self) -> None:
-        """Take it off its zone's calls in flight, once: the figure stays the sum of the calls that count."""
+        """Remove the attempt from its zone's count of calls in flight; a second call has no effect."""
         if self.counted_in_flight:
             self.counted_in_flight = False
             self.zone.in_flight -= 1
@@ -45,46 +45,47 @@
     """The requests of ordered classes that share a key, in arrival order: only the first may be sent."""
 
     queued_requests: deque[Request] = field(default_factory=deque)
-    cooldown_until_ms: float = 0.0  # an attempt that may still run ended so short a time ago
+    # Until then nothing is sent, because the server may still be running an attempt that has ended here.
+    cooldown_until_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request with its attempts: it is kept until it is answered and its last attempt has ended."""
+    """A request with its attempts. It is kept until it is answered and its last attempt has ended."""
 
     id: str
     request_class: api.RequestClass
-    key: str  # of its queue; empty where no order is asked
-    deadline_at_ms: float
+    key: str  # selects its KeyQueue; empty if its class is not ordered
+    deadline_at_ms: float  # a time on the caller's clock, unlike `RequestClass.deadline_ms`
     worth: float
-    limit_share: float = 1.0  # part of a zone's limit that is open to it
+    limit_share: float = 1.0  # the part of a zone's concurrency limit that this request may use
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
 
     def first_possibly_run_attempt(self) -> Attempt | None:
-        """The first attempt that is not proven never to have run."""
+        """Return the first attempt that a server may have run, if any."""
         return next((a for a in self.attempts if a.may_have_run), None)
 
     def may_send_to(self, endpoint: api.Endpoint, now_ms: float) -> bool:
-        """Whether a further attempt there could not have an effect twice."""
+        """Return whether the request can be sent to the endpoint without the risk of taking effect twice."""
         first, request_class = self.first_possibly_run_attempt(), self.request_class
         if first is None or request_class.effect is api.Effect.REPEATABLE:
             return True
         if request_class.effect is api.Effect.ONCE or now_ms >= first.written_ms + request_class.window_ms:
             return False
-        held = first.server.endpoint
-        return (request_class.scope is api.DedupeScope.ALL or held.zone == endpoint.zone) and (
-            request_class.scope is not api.DedupeScope.CELL or held.cell == endpoint.cell)
+        first_endpoint = first.server.endpoint
+        return (request_class.scope is api.DedupeScope.ALL or first_endpoint.zone == endpoint.zone) and (
+            request_class.scope is not api.DedupeScope.CELL or first_endpoint.cell == endpoint.cell)
 
     def retry_safe_until_ms(self) -> float:
-        """Until when a further attempt may leave without the risk of an effect twice."""
+        """Return the time until which a retry may be written without the risk of taking effect twice."""
         first = self.first_possibly_run_attempt()
         if first is None or self.request_class.effect is not api.Effect.KEYED:
             return math.inf
         return first.written_ms + self.request_class.window_ms
 
     def may_refuse(self) -> bool:
-        """Whether a refusal, which tells the client that a repeat is harmless, would be true."""
+        """Return whether the request may be refused: a refusal tells the client that a retry is harmless."""
         request_class = self.request_class
         return request_class.effect is api.Effect.REPEATABLE or self.first_possibly_run_attempt() is None or (
             request_class.effect is api.Effect.KEYED and request_class.scope is api.DedupeScope.ALL)
