--- a/honeywharf/policy/list_freshness.py
+++ b/honeywharf/policy/list_freshness.py
@@ -17,9 +17,9 @@
 # After SIGHUP, a proxy is deemed notified of everything that discovery has at the new address this long after
 # the signal.
 MAX_AGE_AFTER_ADDRESS_CHANGE_MS = 4000.0
-# A broken connection goes unnoticed until the wait of a poll is over, and the next poll must be answered
-# before the proxy is deemed notified of the changes that it missed. Renewing an active watch so often costs
-# little, as such a poll does not queue at discovery.
+# The longest wait of one poll. A broken connection goes unnoticed until the wait is over, and the next poll
+# must be answered before the proxy is deemed notified of the changes that it missed. Renewing an active watch
+# this often costs little, because such a poll does not queue at discovery.
 MAX_WAIT_MS = 4000
 # The lower bound of the maximum age where the settings require polls at short intervals. An active watch is
 # exempt from that requirement, and renewing it more often would overload discovery.
@@ -27,7 +27,7 @@
 # The fraction of a list's maximum age that is left when the wait of a poll is over. It must suffice to notice
 # a missing answer and to send a new poll.
 RESERVED_FRACTION_OF_MAX_AGE = 0.25
-MIN_WAIT_MS = 100  # for a poll that continues a watch; a shorter wait would be as good as none
+MIN_WAIT_MS = 100  # for a poll that continues a watch; a shorter wait would be no better than none
 # A poll times out if it has no answer this long after its wait: discovery answers within milliseconds.
 ANSWER_MARGIN_MS = 500.0
 # A poll that may have started a new watch can spend longer than that in discovery's queue. It times out this
@@ -50,7 +50,7 @@
         notified_after_ms = max(MAX_AGE_FLOOR_MS, ask_every_ms) if ask_every_ms > 0 else MAX_AGE_MS
         self.max_age_ms = min(MAX_AGE_MS, notified_after_ms)
         self.last_known_current_ms = -math.inf  # discovery had nothing newer at this time
-        self.expires_ms = -math.inf  # the proxy is then deemed notified of changes that the list may lack
+        self.expires_ms = -math.inf  # the proxy is deemed notified then of changes that the list may lack
 
     def mark_current(self, at_ms: float) -> None:
         """Record that discovery had nothing newer than the current list at that time."""
@@ -60,8 +60,8 @@
     def record_answer(self, sent_ms: float, wait_ms: float, *, unchanged: bool, now_ms: float) -> None:
         """Record the answer to a poll, which holds at least what discovery had when the poll was sent.
 
-        An answer without changes is written after the full wait. It then proves that the list was current
-        until the end of the wait.
+        Discovery writes an answer without changes once the wait is over, so such an answer proves that the
+        list was current until then. If it arrives earlier, it proves this only for the time of the poll.
         """
         waited_in_full = unchanged and now_ms >= sent_ms + wait_ms
         self.mark_current(sent_ms + wait_ms if waited_in_full else sent_ms)
--- a/honeywharf/policy/outlier.py
+++ b/honeywharf/policy/outlier.py
@@ -105,9 +105,9 @@
         self._add_score(server, MAX_SCORE_STEP, now_ms)
 
     def eject(self, server: Server, base_ms: float, now_ms: float) -> None:
-        """Eject the server for a time that doubles with each consecutive ejection.
+        """Eject the server for a time that doubles with each consecutive ejection, up to a limit.
 
-        Afterwards the balancer sends it trial calls, one at a time, until one of them succeeds.
+        Afterwards the balancer sends it trial calls, one at a time, until one is answered without being slow.
         """
         backoff = 2 ** min(server.consecutive_ejections, MAX_EJECTION_DOUBLINGS)
         server.ejected_until = now_ms + base_ms * backoff * self.random.uniform(*EJECTION_JITTER)
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -45,7 +45,8 @@
     """The requests of ordered classes that share a key, in arrival order: only the first may be sent."""
 
     queued_requests: deque[Request] = field(default_factory=deque)
-    # Until then nothing is sent, because the server may still be running an attempt that has ended here.
+    # No request of the queue is sent before this time, because a server may still be running an attempt whose
+    # outcome was reported.
     cooldown_until_ms: float = 0.0
 
 
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -1,15 +1,19 @@
-"""Calls that hang at servers which answer others, over loopback sockets."""
+"""Hung calls at a server that answers other calls, over loopback sockets."""
 
 from __future__ import annotations
 
 from honeywharf import interface as api
 from tests.loopback import Backend, Client, run, until, world
 
-O = api.Outcome  # noqa: E741
+Outcome = api.Outcome
 
 
-def test_a_call_that_hangs_is_sent_again_and_holds_no_place() -> None:
-    """Guards against gates held shut, and requests lost, by calls that no answer will ever come to."""
+def test_a_hung_call_is_retried_and_no_longer_counts_as_in_flight() -> None:
+    """Otherwise calls that are never answered use up the zone's concurrency limit, and their requests fail.
+
+    The backend answers all `order` calls in 20 ms, except one, which it never answers. Answers to later calls
+    reveal that this call is hung, and its request gets a second attempt.
+    """
     async def main() -> None:
         backend = await Backend().start()
         backend.pause_s = 0.02
@@ -21,23 +25,23 @@
                 assert await client.status() == 200
             backend.script = [None]
             backend.came.clear()
-            name = other.send("order", b"hangs")
+            request_id = other.send("order", b"hangs")
             await until(lambda: backend.came.is_set())
             while not any(a.is_hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("order", b"x")
                 assert await client.status() == 200
-            assert await other.status() == 200  # long before its time is up
-            sent = [m for m in backend.requests if m[2] == b"hangs"]
-            assert len(sent) == 2
-            assert len({m[1][b"idempotency-key"] for m in sent}) == 1
-            assert [len(r.attempts) for r in balancer.requests.values() if r.id == name] == [2]
+            assert await other.status() == 200  # from the second attempt, long before the deadline
+            hung_calls = [m for m in backend.requests if m[2] == b"hangs"]
+            assert len(hung_calls) == 2
+            assert len({m[1][b"idempotency-key"] for m in hung_calls}) == 1
+            assert [len(r.attempts) for r in balancer.requests.values() if r.id == request_id] == [2]
             assert balancer.host_set.zones["z"].in_flight == 0
             assert balancer.host_set.servers["b"].ejections == 0
         await backend.stop()
     run(main())
 
 
-def test_an_unsafe_call_that_hangs_is_not_sent_again() -> None:
+def test_a_hung_call_that_may_run_only_once_is_not_retried() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.pause_s = 0.02
@@ -56,6 +60,6 @@
                 assert await client.status() == 200
             assert await other.status() == 502
             assert len([m for m in backend.requests if m[2] == b"hangs"]) == 1
-            assert [e.outcome for e in w.ended() if e.outcome is not O.OK] == [O.TIMEOUT]
+            assert [e.outcome for e in w.ended() if e.outcome is not Outcome.OK] == [Outcome.TIMEOUT]
         await backend.stop()
     run(main())
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -1,4 +1,4 @@
-"""Outlier detection and ejection: which servers get no calls, and for how long."""
+"""Outlier detection: which servers are ejected, for how long, and for which classes."""
 
 from __future__ import annotations
 
@@ -8,18 +8,20 @@
 from tests.helpers import TWO_ZONES, Driver, endpoint, make_settings, only_send
 
 
-def end_at(driver: Driver, server: str, outcome: api.Outcome, times: int, name: str = "read") -> None:
-    """Make calls until so many at the server have ended so; the others are answered."""
+def end_calls_at(
+    driver: Driver, server: str, outcome: api.Outcome, times: int, class_name: str = "read",
+) -> None:
+    """Make calls until that many at the server have ended with the outcome; calls elsewhere succeed."""
     while times:
-        there = only_send(driver.request(name)).endpoint == server
-        times -= there
-        driver.end(outcome if there else api.Outcome.OK, after_ms=1.0, request_over=True)
+        at_server = only_send(driver.request(class_name)).endpoint == server
+        times -= at_server
+        driver.end(outcome if at_server else api.Outcome.OK, after_ms=1.0, request_over=True)
 
 
-def test_failed_connections_eject_and_a_trial_brings_back() -> None:
+def test_failed_connections_eject_a_server_and_a_trial_call_readmits_it() -> None:
     driver = Driver()
     driver.list(TWO_ZONES)
-    end_at(driver, "a0", api.Outcome.CONNECT_FAILED, 2)
+    end_calls_at(driver, "a0", api.Outcome.CONNECT_FAILED, 2)
     assert "a0" not in driver.fill(300)
     driver.now += 4000
     assert "a0" in driver.fill(300)
@@ -27,36 +29,36 @@
 
 @pytest.mark.parametrize("outcome", [
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.RESET, api.Outcome.TIMEOUT])
-def test_one_broken_or_silent_connection_proves_nothing_of_the_server(outcome: api.Outcome) -> None:
+def test_one_broken_or_silent_connection_does_not_eject_the_server(outcome: api.Outcome) -> None:
     driver = Driver()
     driver.list(TWO_ZONES)
     driver.fill(100)
-    end_at(driver, "a0", outcome, 1)
+    end_calls_at(driver, "a0", outcome, 1)
     assert "a0" in driver.fill(300)
     assert driver.balancer.host_set.servers["a0"].ejections == 0
 
 
-def test_a_refused_connection_says_more_of_a_server_than_one_that_does_not_come_up() -> None:
-    """Guards against emptying all zones where connections come up late everywhere: none is a dead process."""
-    for outcome, out in ((api.Outcome.CONNECT_FAILED, 3), (api.Outcome.CONNECT_TIMEOUT, 1)):
+def test_a_refused_connection_weighs_more_than_a_connect_timeout() -> None:
+    """Connect timeouts at all servers must not empty all zones: they do not show that a process is dead."""
+    for outcome, ejected in ((api.Outcome.CONNECT_FAILED, 3), (api.Outcome.CONNECT_TIMEOUT, 1)):
         driver = Driver(make_settings(limits=api.Limits(max_attempts=1)))
         driver.list(TWO_ZONES[:4])
         driver.fill(100)
         servers = driver.balancer.host_set.servers
         for name in list(servers)[:3]:
-            end_at(driver, name, outcome, 4)
-        assert sum(s.ejections > 0 for s in servers.values()) == out, outcome
+            end_calls_at(driver, name, outcome, 4)
+        assert sum(s.ejections > 0 for s in servers.values()) == ejected, outcome
 
 
-def test_errors_in_a_row_eject() -> None:
+def test_consecutive_errors_eject_a_server() -> None:
     driver = Driver()
     driver.list([endpoint("a0"), endpoint("b0", "b"), endpoint("b1", "b")])
     driver.fill(4, api.Outcome.ERROR)
     assert set(driver.fill(50)) == {"b0", "b1"}
 
 
-def test_errors_of_a_tier_behind_all_servers_empty_no_zone() -> None:
-    """What fails alike at each of them is not theirs, and the other zones could not carry it all."""
+def test_errors_of_a_tier_behind_all_servers_do_not_empty_a_zone() -> None:
+    """Errors that all servers return are not their own, and the other zones could not serve all calls."""
     driver = Driver()
     driver.list([endpoint("a0"), endpoint("a1"), endpoint("b0", "b"), endpoint("b1", "b")])
     driver.fill(40, api.Outcome.ERROR)
@@ -65,16 +67,16 @@
     assert set(driver.fill(200)) == {"a0", "a1"}
 
 
-def test_a_server_that_alone_fails_is_ejected_though_another_is_out() -> None:
-    """Guards against a failing server that stays in: it fails fast, has room, and draws the calls."""
+def test_the_only_failing_server_is_ejected_while_another_is_ejected() -> None:
+    """Otherwise it would attract most calls, because it fails fast and so always has free capacity."""
     driver = Driver()
     driver.list([endpoint(f"a{i}") for i in range(2)] + [endpoint(f"b{i}", "b") for i in range(2)])
     driver.fill(200)
     servers = driver.balancer.host_set.servers
     driver.balancer.outliers.eject(servers["b0"], 60000.0, driver.balancer.now)
     for _ in range(60):
-        bad = only_send(driver.request()).endpoint == "a0"
-        driver.end(api.Outcome.ERROR if bad else api.Outcome.OK, after_ms=1.0, request_over=True)
+        fails = only_send(driver.request()).endpoint == "a0"
+        driver.end(api.Outcome.ERROR if fails else api.Outcome.OK, after_ms=1.0, request_over=True)
     assert servers["a0"].ejections == 1
     assert servers["a1"].ejections == 0
 
@@ -86,77 +88,77 @@
     assert set(driver.fill(50)) == {"a0"}
 
 
-def answer(driver: Driver, calls: int, slow: set[str]) -> set[str]:
-    """Calls that take 10 ms, or 100 ms at the slow servers; the servers that got some."""
+def answer_calls(driver: Driver, calls: int, slow_servers: set[str]) -> set[str]:
+    """Make calls that take 10 ms, or 100 ms at the slow servers; return the servers that received some."""
     sent: set[str] = set()
     for _ in range(calls):
         for action in driver.request():
             if isinstance(action, api.Send):
                 sent.add(action.endpoint)
-                driver.end(api.Outcome.OK, after_ms=100.0 if action.endpoint in slow else 10.0)
+                driver.end(api.Outcome.OK, after_ms=100.0 if action.endpoint in slow_servers else 10.0)
     return sent
 
 
 def test_a_slow_server_is_ejected() -> None:
-    """Guards against choked servers that keep their share."""
+    """An overloaded server that keeps answering must not keep its share of the calls."""
     driver = Driver()
     driver.list([endpoint(f"a{i}") for i in range(6)])
-    answer(driver, 100, set())
-    answer(driver, 60, {"a0"})
-    assert "a0" not in answer(driver, 40, {"a0"})
+    answer_calls(driver, 100, set())
+    answer_calls(driver, 60, {"a0"})
+    assert "a0" not in answer_calls(driver, 40, {"a0"})
 
 
-def test_slow_company_is_not_ejected() -> None:
-    """Guards against emptying a zone when all its servers are slow at once."""
+def test_a_zone_whose_servers_are_all_slow_is_not_emptied() -> None:
     driver = Driver()
     driver.list([endpoint(f"a{i}") for i in range(6)])
-    answer(driver, 100, set())
-    everyone = {f"a{i}" for i in range(6)}
+    answer_calls(driver, 100, set())
+    all_servers = {f"a{i}" for i in range(6)}
     for _ in range(50):
-        answer(driver, 5, everyone)
+        answer_calls(driver, 5, all_servers)
         assert sum(s.ejected_until <= driver.now for s in driver.balancer.host_set.servers.values()) >= 4
 
 
-def test_a_server_that_swallows_a_class_gets_none_of_it_and_serves_the_others() -> None:
-    """Guards against servers that answer one class and leave another to run out of time."""
+def test_a_server_that_times_out_for_one_class_is_ejected_for_that_class_alone() -> None:
+    """A server may answer one class and leave the calls of another unanswered."""
     driver = Driver()
     driver.list([endpoint(f"a{i}") for i in range(6)])
     driver.fill(100)
-    silent = "a0"
-    driver.balancer.host_set.servers[silent].consecutive_failures = 1  # its last call has failed too
-    end_at(driver, silent, api.Outcome.TIMEOUT, 1, "write")
+    silent_server = "a0"
+    # As if the call before had failed too.
+    driver.balancer.host_set.servers[silent_server].consecutive_failures = 1
+    end_calls_at(driver, silent_server, api.Outcome.TIMEOUT, 1, "write")
     sent: dict[str, set[str]] = {"write": set(), "read": set()}
     for i in range(400):
-        name = ("write", "read")[i % 2]
-        sent[name].add(only_send(driver.request(name)).endpoint)
+        class_name = ("write", "read")[i % 2]
+        sent[class_name].add(only_send(driver.request(class_name)).endpoint)
         driver.end(api.Outcome.OK, after_ms=1.0)
-    assert silent not in sent["write"]
-    assert silent in sent["read"]
+    assert silent_server not in sent["write"]
+    assert silent_server in sent["read"]
     driver.now += 13000
-    again: set[str] = set()
+    sent_later: set[str] = set()
     for _ in range(100):
-        again.add(only_send(driver.request("write")).endpoint)
+        sent_later.add(only_send(driver.request("write")).endpoint)
         driver.end(api.Outcome.OK, after_ms=1.0)
-    assert silent in again
+    assert silent_server in sent_later
 
 
-def test_a_server_that_fails_one_class_gets_none_of_it_and_serves_the_others() -> None:
-    """Guards against trial calls of a sound class that bring a server back for the class that it fails."""
+def test_a_server_that_fails_one_class_is_ejected_for_that_class_alone() -> None:
+    """A successful trial call of another class must not readmit the server for the class that it fails."""
     driver = Driver()
     driver.list([endpoint(f"a{i}") for i in range(4)])
     sent = {"read": 0, "write": 0}
     for i in range(1200):
         class_name = ("read", "write")[i % 2]
-        bad = only_send(driver.request(class_name)).endpoint == "a0"
-        sent[class_name] += bad
-        fails = bad and class_name == "write"
+        at_a0 = only_send(driver.request(class_name)).endpoint == "a0"
+        sent[class_name] += at_a0
+        fails = at_a0 and class_name == "write"
         driver.end(api.Outcome.ERROR if fails else api.Outcome.OK, after_ms=10.0, request_over=True)
     assert sent["write"] <= 8
     assert sent["read"] > 30
 
 
-def test_all_silent_servers_still_serve() -> None:
-    """Guards against emptying every level when a class runs out of time everywhere at once."""
+def test_a_class_that_times_out_at_all_servers_is_still_sent() -> None:
+    """Timeouts of a class everywhere must not leave it without a usable server."""
     driver = Driver()
     driver.list([endpoint("a0"), endpoint("b0", "b")])
     for _ in range(2):
@@ -165,10 +167,10 @@
     only_send(driver.request("write"))
 
 
-def test_a_refusing_server_gets_a_pause() -> None:
-    """Guards against filling each slot of a jammed server as it frees (incident ie6e9de)."""
+def test_a_server_that_rejects_a_call_is_ejected_for_a_short_time() -> None:
+    """A full server that is sent a new call whenever it finishes one stays full (incident ie6e9de)."""
     driver = Driver()
     driver.list([endpoint(f"a{i}") for i in range(6)])
-    full = only_send(driver.request()).endpoint
+    full_server = only_send(driver.request()).endpoint
     driver.end(api.Outcome.REJECTED, request_over=True)
-    assert full not in driver.fill(300)
+    assert full_server not in driver.fill(300)
