--- a/honeywharf/balancer.py
+++ b/honeywharf/balancer.py
@@ -147,7 +147,7 @@
             return None
         own_zone, draw = self.host_set.zones.get(self.settings.zone), self.random.random()
         for priority, level in enumerate(self.host_set.levels):
-            own_zone_full = own_zone is not None and not own_zone.has_room(request.room, draw)
+            own_zone_full = own_zone is not None and not own_zone.has_room(request.limit_share, draw)
             # Inner tiers send all the same: their refusal would only cause a retry in the tier before.
             if priority == 0 and own_zone_full and self.settings.tier == 0:
                 continue
@@ -160,7 +160,7 @@
         self, level: list[Server], priority: int, request: Request, draw: float,
     ) -> Server | None:
         """Pick random servers of a level until one is usable and has capacity, a few times at most."""
-        if request.may_have_run() is not None:  # the retry may be limited to some servers
+        if request.first_possibly_run_attempt() is not None:  # the retry may be limited to some servers
             level = [s for s in level if request.may_send_to(s.endpoint, self.now_ms)]
         last_server = request.attempts[-1].server if request.attempts else None
         sheds_load = self.settings.tier == 0  # in inner tiers the last level ignores the concurrency limits
@@ -170,9 +170,9 @@
                     server.warming_up and self.now_ms < server.next_call_ms):
                 continue
             zone = self.host_set.zones[server.endpoint.zone]
-            if priority > 0 and sheds_load and not zone.has_room(request.room, draw):
+            if priority > 0 and sheds_load and not zone.has_room(request.limit_share, draw):
                 continue
-            if (priority < 2 or sheds_load) and not zone.has_room(request.room, draw, server):
+            if (priority < 2 or sheds_load) and not zone.has_room(request.limit_share, draw, server):
                 continue
             if priority < 2 and not self._is_healthy_for(server, request):
                 continue
@@ -186,20 +186,20 @@
         After an ejection it is half-open: it gets one trial call at a time, and no request that may run only
         once. A server that is ejected for one class gets no calls of that class.
         """
-        if server.consecutive_ejections and (server.calls or request.cls.idempotency is api.Idempotency.ONCE):
+        if server.consecutive_ejections and (server.calls or request.request_class.idempotency is api.Idempotency.ONCE):
             return False
         ejected_until = server.class_ejected_until
-        return not ejected_until or ejected_until.get(request.cls.name, 0.0) <= self.now_ms
+        return not ejected_until or ejected_until.get(request.request_class.name, 0.0) <= self.now_ms
 
     # Requests.
 
     def _on_request_arrived(self, event: api.RequestArrived) -> None:
-        cls = self.classes.get(event.class_name)
-        if cls is None:
+        request_class = self.classes.get(event.class_name)
+        if request_class is None:
             self.actions.append(api.Fail(event.id, api.GiveUpReason.UNKNOWN_CLASS))
             return
-        key = event.key if cls.ordered_by_key else ""
-        request = Request(event.id, cls, key, self.now_ms + event.remaining_ms, cls.worth)
+        key = event.key if request_class.ordered_by_key else ""
+        request = Request(event.id, request_class, key, self.now_ms + event.remaining_ms, request_class.worth)
         self.requests[event.id] = request
         self._set_admission(request, event.tenant)
         self.retry_tokens = min(MAX_RETRY_TOKENS, self.retry_tokens + RETRY_TOKENS_PER_REQUEST)
@@ -211,38 +211,38 @@
     def _enqueue(self, request: Request) -> None:
         """Queue the request behind others of its key, and send it now if it is the first of them."""
         queue = self.key_queues.setdefault(request.key, KeyQueue())
-        queue.held.append(request)
-        if queue.held[0] is request and queue.rests_until <= self.now_ms:
+        queue.queued_requests.append(request)
+        if queue.queued_requests[0] is request and queue.cooldown_until_ms <= self.now_ms:
             self._start_attempt(request)
         else:
-            heapq.heappush(self.queued_deadlines, (request.deadline, request.id))
-            self.actions.append(api.SetTimer(request.deadline, "wait"))
+            heapq.heappush(self.queued_deadlines, (request.deadline_at_ms, request.id))
+            self.actions.append(api.SetTimer(request.deadline_at_ms, "wait"))
 
     def _dispatch_next(self, key: str) -> None:
         """Send the first queued request of a key, unless it is already sent or the key is in cooldown."""
         queue = self.key_queues.get(key)
-        if queue is None or queue.rests_until > self.now_ms:
+        if queue is None or queue.cooldown_until_ms > self.now_ms:
             return  # a timer ends the cooldown and dispatches the key again
-        if not queue.held:
+        if not queue.queued_requests:
             del self.key_queues[key]
-        elif not queue.held[0].attempts:
-            self._start_attempt(queue.held[0])
+        elif not queue.queued_requests[0].attempts:
+            self._start_attempt(queue.queued_requests[0])
 
     def _set_admission(self, request: Request, tenant: str) -> None:
         """Set the worth of the request, and the part of a zone's concurrency limit that is open to it."""
-        request.room = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
+        request.limit_share = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
         quota = self.tenant_quotas.get(tenant)
         if quota is None and tenant in self.tenants:
             share_per_s = self.tenants[tenant].quota_per_s / self.settings.balancer_count
             quota = self.tenant_quotas[tenant] = TenantQuota(share_per_s / 1000.0, share_per_s, self.now_ms)
         if quota is not None and not quota.take(self.now_ms):
             request.worth *= self.settings.over_quota_worth_factor
-            request.room *= OVER_QUOTA_ADMISSION
+            request.limit_share *= OVER_QUOTA_ADMISSION
         self.mean_worth += (request.worth - self.mean_worth) / 100.0
 
     def _start_attempt(self, request: Request) -> None:
         """Send the request's next attempt, or give up if no server can get it."""
-        if request.deadline <= self.now_ms:
+        if request.deadline_at_ms <= self.now_ms:
             self._give_up(request, api.GiveUpReason.NO_TIME)
             return
         server = self._choose_server(request)
@@ -255,7 +255,7 @@
 
     def _send(self, request: Request, server: Server) -> None:
         zone = self.host_set.zones[server.endpoint.zone]
-        send_within_ms = min(request.latest_repeat(), self.list_expires_at_ms) - self.now_ms
+        send_within_ms = min(request.retry_safe_until_ms(), self.list_expires_at_ms) - self.now_ms
         attempt = Attempt(request.id, server, zone, self.now_ms, self.now_ms, server.ejections)
         request.attempts.append(attempt)
         server.calls[attempt] = None
@@ -263,7 +263,7 @@
         if server.warming_up:
             self.host_set.schedule_warm_up_call(server, 0.5, 1.5, self.now_ms)
         self.actions.append(api.Send(
-            request.id, server.endpoint.id, request.deadline - self.now_ms, send_within_ms))
+            request.id, server.endpoint.id, request.deadline_at_ms - self.now_ms, send_within_ms))
 
     def _give_up(self, request: Request, reason: api.GiveUpReason) -> None:
         if request.may_refuse():
@@ -278,10 +278,10 @@
     def _finish(self, request: Request) -> None:
         """Mark the request as answered, and remove it once none of its attempts is in flight."""
         request.answered = True
-        if any(a.live for a in request.attempts) or self.requests.pop(request.id, None) is None:
+        if any(a.active for a in request.attempts) or self.requests.pop(request.id, None) is None:
             return
         if request.key:
-            self.key_queues[request.key].held.remove(request)
+            self.key_queues[request.key].queued_requests.remove(request)
             self.ready_keys.append(request.key)
 
     def _on_attempt_ended(self, event: api.AttemptEnded) -> None:
@@ -289,37 +289,37 @@
         if request is None or not 0 <= event.attempt < len(request.attempts):
             return
         attempt = request.attempts[event.attempt]
-        if not attempt.live:
+        if not attempt.active:
             return
-        attempt.live, attempt.ran = False, event.outcome not in api.NOT_EXECUTED_OUTCOMES
-        attempt.left_ms = attempt.sent_ms + event.time_to_send_ms
+        attempt.active, attempt.may_have_run = False, event.outcome not in api.NOT_EXECUTED_OUTCOMES
+        attempt.written_ms = attempt.sent_ms + event.time_to_send_ms
         attempt.server.calls.pop(attempt, None)
         attempt.release()
         # The outcome is out of date if the server was ejected, or the call deemed hung, since it was sent.
-        if attempt.ejections == attempt.server.ejections and not attempt.hangs:
+        if attempt.ejections == attempt.server.ejections and not attempt.is_hung:
             self._update_zone_limit(attempt.zone, request, event)
             self.outliers.record(attempt.server, request, event, self.now_ms)
         if request.key and event.outcome in api.MAYBE_RUNNING_OUTCOMES:
             # The endpoint may still be executing the request. The next one waits, to keep the order.
-            self.key_queues[request.key].rests_until = self.now_ms + self.settings.rules.key_cooldown_ms
-            self.key_cooldowns.append((self.key_queues[request.key].rests_until, request.key))
+            self.key_queues[request.key].cooldown_until_ms = self.now_ms + self.settings.rules.key_cooldown_ms
+            self.key_cooldowns.append((self.key_queues[request.key].cooldown_until_ms, request.key))
             self.actions.append(api.SetTimer(self.key_cooldowns[-1][0], "turn"))
         if event.request_finished or request.answered:
             self._finish(request)
-        elif not any(a.live for a in request.attempts):
+        elif not any(a.active for a in request.attempts):
             self._retry(request, event.outcome)
         else:  # the attempts in flight hang; one may still succeed, so there is no final answer yet
             self._send_hedged(request)
-        if event.outcome is api.Outcome.OK and not attempt.hangs:
-            self._detect_hung_calls(attempt, request.cls)
+        if event.outcome is api.Outcome.OK and not attempt.is_hung:
+            self._detect_hung_calls(attempt, request.request_class)
 
     def _update_zone_limit(self, zone: Zone, request: Request, event: api.AttemptEnded) -> None:
         """Adapt the concurrency limit of the zone to how late the attempt ended."""
-        cls = request.cls
+        request_class = request.request_class
         # Lateness is relative to the aim, because the shortest latencies seen are far below the usual ones. A
         # rejection counts as the greatest lateness.
         rejected = event.outcome is api.Outcome.REJECTED
-        lateness = 3.0 if rejected else event.response_time_ms / (LATENCY_TARGET * cls.aim_ms)
+        lateness = 3.0 if rejected else event.response_time_ms / (LATENCY_TARGET * request_class.aim_ms)
         # An early failure (a refused connection, an error, a short deadline) is no sign of spare capacity, so
         # only a success counts when it was early. Other outcomes count only when they were late.
         if event.outcome is api.Outcome.OK or (event.outcome not in UNREACHED_OUTCOMES and lateness > 1.0):
@@ -338,7 +338,7 @@
             self.retry_tokens -= cost
             self._start_attempt(request)
 
-    def _detect_hung_calls(self, answered: Attempt, cls: api.RequestClass) -> None:
+    def _detect_hung_calls(self, answered: Attempt, request_class: api.RequestClass) -> None:
         """Find the hung calls of a server that has just answered a later call in the usual time.
 
         Such a call takes far longer than usual, because it was lost on the way or forgotten by the server. If
@@ -347,17 +347,18 @@
         a class, long calls may be taken for hung ones and run twice.
         """
         latency = self.outliers.latency
-        if self.now_ms - answered.sent_ms > latency.slow_ms(cls.name) or not latency.is_settled(cls.name):
+        if (self.now_ms - answered.sent_ms > latency.slow_threshold_ms(request_class.name)
+                or not latency.has_enough_samples(request_class.name)):
             return
         hung = []
         for call in answered.server.calls:
             request = self.requests.get(call.request)
             if request is None or call.sent_ms >= answered.sent_ms:
                 break
-            if self.now_ms - call.sent_ms > latency.hung_ms(request.cls.name):
+            if self.now_ms - call.sent_ms > latency.hung_threshold_ms(request.request_class.name):
                 hung.append((call, request))
         for call, request in hung:
-            call.hangs = True
+            call.is_hung = True
             del call.server.calls[call]
             call.release()
             if call.ejections == call.server.ejections:
@@ -366,10 +367,12 @@
 
     def _send_hedged(self, request: Request) -> None:
         """Send a hedged request for one whose call hangs, if its class and the retry budget allow it."""
-        cls, limits = request.cls, self.settings.limits
-        if (request.answered or not limits.concurrent_attempts or cls.ordered_by_key or cls.stream
+        request_class, limits = request.request_class, self.settings.limits
+        if (request.answered or not limits.concurrent_attempts
+                or request_class.ordered_by_key or request_class.stream
                 or len(request.attempts) >= limits.max_attempts or self.retry_tokens < 1.0
-                or any(a.live and not a.hangs for a in request.attempts) or request.deadline <= self.now_ms):
+                or any(a.active and not a.is_hung for a in request.attempts)
+                or request.deadline_at_ms <= self.now_ms):
             return
         server = self._choose_server(request)
         if server is not None:
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -1,6 +1,6 @@
-"""Requests, their attempts and the queues of ordered requests that share a key.
+"""Requests, their attempts, and the queues of ordered requests that share a key.
 
-A request knows where a further attempt is safe: by its effect, its deduplication scope and its idempotency
+A request decides where a further attempt is safe, by its effect, its deduplication scope and its idempotency
 window.
 """
 
@@ -20,23 +20,23 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt of a request at one server. `ran` is False once it is proven never to have run."""
+    """One attempt of a request at one server."""
 
-    request: str
+    request: str  # the request's id
     server: Server
     zone: Zone
-    sent_ms: float
-    left_ms: float  # when its bytes left, as far as is known
-    ejections: int  # of the server when it was sent
-    live: bool = True
-    ran: bool = True
-    counts: bool = True  # among the calls in flight of its zone
-    hangs: bool = False
+    sent_ms: float  # when the balancer decided to send it
+    written_ms: float  # when it was written to the socket; equals `sent_ms` until the attempt has ended
+    ejections: int  # the server's count of ejections at `sent_ms`
+    active: bool = True  # its outcome has not been reported yet
+    may_have_run: bool = True  # False once the outcome proves that the server did not run it
+    counted_in_flight: bool = True  # it is included in `Zone.in_flight`
+    is_hung: bool = False
 
     def release(self) -> None:
-        """Take it off its zone's calls in flight, once: the figure stays the sum of the calls that count."""
-        if self.counts:
-            self.counts = False
+        """Remove the attempt from its zone's count of calls in flight; a second call has no effect."""
+        if self.counted_in_flight:
+            self.counted_in_flight = False
             self.zone.in_flight -= 1
 
 
@@ -44,47 +44,49 @@
 class KeyQueue:
     """The requests of ordered classes that share a key, in arrival order: only the first may be sent."""
 
-    held: deque[Request] = field(default_factory=deque)
-    rests_until: float = 0.0  # an attempt that may still run ended so short a time ago
+    queued_requests: deque[Request] = field(default_factory=deque)
+    # No request of the queue is sent before this time, because a server may still be running an attempt whose
+    # outcome was reported.
+    cooldown_until_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request with its attempts: it is kept until it is answered and its last attempt has ended."""
+    """A request with its attempts. It is kept until it is answered and its last attempt has ended."""
 
     id: str
-    cls: api.RequestClass
-    key: str  # of its queue; empty where no order is asked
-    deadline: float
+    request_class: api.RequestClass
+    key: str  # selects its KeyQueue; empty if its class is not ordered
+    deadline_at_ms: float  # a time on the caller's clock, unlike `RequestClass.deadline_ms`
     worth: float
-    room: float = 1.0  # part of a zone's limit that is open to it
+    limit_share: float = 1.0  # the part of a zone's concurrency limit that this request may use
     attempts: list[Attempt] = field(default_factory=list)
     answered: bool = False
 
-    def may_have_run(self) -> Attempt | None:
-        """The first attempt that is not proven never to have run."""
-        return next((a for a in self.attempts if a.ran), None)
+    def first_possibly_run_attempt(self) -> Attempt | None:
+        """Return the first attempt that a server may have run, if any."""
+        return next((a for a in self.attempts if a.may_have_run), None)
 
-    def may_send_to(self, endpoint: api.Endpoint, now: float) -> bool:
-        """Whether a further attempt there could not have an effect twice."""
-        first, cls = self.may_have_run(), self.cls
-        if first is None or cls.idempotency is api.Idempotency.REPEATABLE:
+    def may_send_to(self, endpoint: api.Endpoint, now_ms: float) -> bool:
+        """Return whether the request can be sent to the endpoint without the risk of taking effect twice."""
+        first, request_class = self.first_possibly_run_attempt(), self.request_class
+        if first is None or request_class.idempotency is api.Idempotency.REPEATABLE:
             return True
-        if cls.idempotency is api.Idempotency.ONCE or now >= first.left_ms + cls.dedupe_window_ms:
+        if request_class.idempotency is api.Idempotency.ONCE or now_ms >= first.written_ms + request_class.dedupe_window_ms:
             return False
-        held = first.server.endpoint
-        return (cls.dedupe_scope is api.DedupeScope.ALL or held.zone == endpoint.zone) and (
-            cls.dedupe_scope is not api.DedupeScope.CELL or held.cell == endpoint.cell)
-
-    def latest_repeat(self) -> float:
-        """Until when a further attempt may leave without the risk of an effect twice."""
-        first = self.may_have_run()
-        if first is None or self.cls.idempotency is not api.Idempotency.KEYED:
+        first_endpoint = first.server.endpoint
+        return (request_class.dedupe_scope is api.DedupeScope.ALL or first_endpoint.zone == endpoint.zone) and (
+            request_class.dedupe_scope is not api.DedupeScope.CELL or first_endpoint.cell == endpoint.cell)
+
+    def retry_safe_until_ms(self) -> float:
+        """Return the time until which a retry may be written without the risk of taking effect twice."""
+        first = self.first_possibly_run_attempt()
+        if first is None or self.request_class.idempotency is not api.Idempotency.KEYED:
             return math.inf
-        return first.left_ms + self.cls.dedupe_window_ms
+        return first.written_ms + self.request_class.dedupe_window_ms
 
     def may_refuse(self) -> bool:
-        """Whether a refusal, which tells the client that a repeat is harmless, would be true."""
-        cls = self.cls
-        return cls.idempotency is api.Idempotency.REPEATABLE or self.may_have_run() is None or (
-            cls.idempotency is api.Idempotency.KEYED and cls.dedupe_scope is api.DedupeScope.ALL)
+        """Return whether the request may be refused: a refusal tells the client that a retry is harmless."""
+        request_class = self.request_class
+        return request_class.idempotency is api.Idempotency.REPEATABLE or self.first_possibly_run_attempt() is None or (
+            request_class.idempotency is api.Idempotency.KEYED and request_class.dedupe_scope is api.DedupeScope.ALL)
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -149,10 +149,10 @@
             if isinstance(action, api.Send):
                 pending.append((action.request, attempt_counts.get(action.request, 0), now))
                 attempt_counts[action.request] = attempt_counts.get(action.request, 0) + 1
-        live = [a for r in balancer.requests.values() for a in r.attempts if a.live]
-        assert len(live) == len(pending)
+        active = [a for r in balancer.requests.values() for a in r.attempts if a.active]
+        assert len(active) == len(pending)
         for zone in balancer.host_set.zones.values():
-            assert zone.in_flight == sum(a.counts for a in live if a.zone is zone) >= 0
+            assert zone.in_flight == sum(a.counted_in_flight for a in active if a.zone is zone) >= 0
     for request, attempt, sent in pending:
         balancer.handle(now, api.AttemptEnded(request, attempt, api.Outcome.TIMEOUT, now - sent, True))
     assert [z.in_flight for z in balancer.host_set.zones.values()] == [0] * len(balancer.host_set.zones)
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -1,4 +1,4 @@
-"""Outlier detection and ejection: which servers get no calls, and for how long."""
+"""Outlier detection: which servers are ejected, for how long, and for which classes."""
 
 from __future__ import annotations
 
@@ -14,20 +14,20 @@
 )
 
 
-def end_at(
-    harness: BalancerHarness, server: str, outcome: api.Outcome, times: int, name: str = "read"
+def end_calls_at(
+    harness: BalancerHarness, server: str, outcome: api.Outcome, times: int, class_name: str = "read",
 ) -> None:
-    """Make calls until so many at the server have ended so; the others are answered."""
+    """Make calls until that many at the server have ended with the outcome; calls elsewhere succeed."""
     while times:
-        there = expect_single_send(harness.start_request(name)).endpoint == server
-        times -= there
-        harness.end_attempt(outcome if there else api.Outcome.OK, after_ms=1.0, request_finished=True)
+        at_server = expect_single_send(harness.start_request(class_name)).endpoint == server
+        times -= at_server
+        harness.end_attempt(outcome if at_server else api.Outcome.OK, after_ms=1.0, request_finished=True)
 
 
-def test_failed_connections_eject_and_a_trial_brings_back() -> None:
+def test_failed_connections_eject_a_server_and_a_trial_call_readmits_it() -> None:
     harness = BalancerHarness()
     harness.update_endpoints(TWO_ZONE_ENDPOINTS)
-    end_at(harness, "a0", api.Outcome.CONNECT_FAILED, 2)
+    end_calls_at(harness, "a0", api.Outcome.CONNECT_FAILED, 2)
     assert "a0" not in harness.run_requests(300)
     harness.now_ms += 4000
     assert "a0" in harness.run_requests(300)
@@ -35,36 +35,36 @@
 
 @pytest.mark.parametrize("outcome", [
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.RESET, api.Outcome.TIMEOUT])
-def test_one_broken_or_silent_connection_proves_nothing_of_the_server(outcome: api.Outcome) -> None:
+def test_one_broken_or_silent_connection_does_not_eject_the_server(outcome: api.Outcome) -> None:
     harness = BalancerHarness()
     harness.update_endpoints(TWO_ZONE_ENDPOINTS)
     harness.run_requests(100)
-    end_at(harness, "a0", outcome, 1)
+    end_calls_at(harness, "a0", outcome, 1)
     assert "a0" in harness.run_requests(300)
     assert harness.balancer.host_set.servers["a0"].ejections == 0
 
 
-def test_a_refused_connection_says_more_of_a_server_than_one_that_does_not_come_up() -> None:
-    """Guards against emptying all zones where connections come up late everywhere: none is a dead process."""
-    for outcome, out in ((api.Outcome.CONNECT_FAILED, 3), (api.Outcome.CONNECT_TIMEOUT, 1)):
+def test_a_refused_connection_weighs_more_than_a_connect_timeout() -> None:
+    """Connect timeouts at all servers must not empty all zones: they do not show that a process is dead."""
+    for outcome, ejected in ((api.Outcome.CONNECT_FAILED, 3), (api.Outcome.CONNECT_TIMEOUT, 1)):
         harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=1)))
         harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
         harness.run_requests(100)
         servers = harness.balancer.host_set.servers
         for name in list(servers)[:3]:
-            end_at(harness, name, outcome, 4)
-        assert sum(s.ejections > 0 for s in servers.values()) == out, outcome
+            end_calls_at(harness, name, outcome, 4)
+        assert sum(s.ejections > 0 for s in servers.values()) == ejected, outcome
 
 
-def test_errors_in_a_row_eject() -> None:
+def test_consecutive_errors_eject_a_server() -> None:
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b"), make_endpoint("b1", "b")])
     harness.run_requests(4, api.Outcome.ERROR)
     assert set(harness.run_requests(50)) == {"b0", "b1"}
 
 
-def test_errors_of_a_tier_behind_all_servers_empty_no_zone() -> None:
-    """What fails alike at each of them is not theirs, and the other zones could not carry it all."""
+def test_errors_of_a_tier_behind_all_servers_do_not_empty_a_zone() -> None:
+    """Errors that all servers return are not their own, and the other zones could not serve all calls."""
     harness = BalancerHarness()
     harness.update_endpoints(
         [make_endpoint("a0"), make_endpoint("a1"), make_endpoint("b0", "b"), make_endpoint("b1", "b")]
@@ -75,8 +75,8 @@
     assert set(harness.run_requests(200)) == {"a0", "a1"}
 
 
-def test_a_server_that_alone_fails_is_ejected_though_another_is_out() -> None:
-    """Guards against a failing server that stays in: it fails fast, has room, and draws the calls."""
+def test_the_only_failing_server_is_ejected_while_another_is_ejected() -> None:
+    """Otherwise it would attract most calls, because it fails fast and so always has free capacity."""
     harness = BalancerHarness()
     harness.update_endpoints(
         [make_endpoint(f"a{i}") for i in range(2)] + [make_endpoint(f"b{i}", "b") for i in range(2)]
@@ -85,8 +85,8 @@
     servers = harness.balancer.host_set.servers
     harness.balancer.outliers.eject(servers["b0"], 60000.0, harness.balancer.now_ms)
     for _ in range(60):
-        bad = expect_single_send(harness.start_request()).endpoint == "a0"
-        harness.end_attempt(api.Outcome.ERROR if bad else api.Outcome.OK, after_ms=1.0, request_finished=True)
+        fails = expect_single_send(harness.start_request()).endpoint == "a0"
+        harness.end_attempt(api.Outcome.ERROR if fails else api.Outcome.OK, after_ms=1.0, request_finished=True)
     assert servers["a0"].ejections == 1
     assert servers["a1"].ejections == 0
 
@@ -98,77 +98,77 @@
     assert set(harness.run_requests(50)) == {"a0"}
 
 
-def answer(harness: BalancerHarness, calls: int, slow: set[str]) -> set[str]:
-    """Calls that take 10 ms, or 100 ms at the slow servers; the servers that got some."""
+def answer_calls(harness: BalancerHarness, calls: int, slow_servers: set[str]) -> set[str]:
+    """Make calls that take 10 ms, or 100 ms at the slow servers; return the servers that received some."""
     sent: set[str] = set()
     for _ in range(calls):
         for action in harness.start_request():
             if isinstance(action, api.Send):
                 sent.add(action.endpoint)
-                harness.end_attempt(api.Outcome.OK, after_ms=100.0 if action.endpoint in slow else 10.0)
+                harness.end_attempt(api.Outcome.OK, after_ms=100.0 if action.endpoint in slow_servers else 10.0)
     return sent
 
 
 def test_a_slow_server_is_ejected() -> None:
-    """Guards against choked servers that keep their share."""
+    """An overloaded server that keeps answering must not keep its share of the calls."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
-    answer(harness, 100, set())
-    answer(harness, 60, {"a0"})
-    assert "a0" not in answer(harness, 40, {"a0"})
+    answer_calls(harness, 100, set())
+    answer_calls(harness, 60, {"a0"})
+    assert "a0" not in answer_calls(harness, 40, {"a0"})
 
 
-def test_slow_company_is_not_ejected() -> None:
-    """Guards against emptying a zone when all its servers are slow at once."""
+def test_a_zone_whose_servers_are_all_slow_is_not_emptied() -> None:
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
-    answer(harness, 100, set())
-    everyone = {f"a{i}" for i in range(6)}
+    answer_calls(harness, 100, set())
+    all_servers = {f"a{i}" for i in range(6)}
     for _ in range(50):
-        answer(harness, 5, everyone)
+        answer_calls(harness, 5, all_servers)
         assert sum(s.ejected_until <= harness.now_ms for s in harness.balancer.host_set.servers.values()) >= 4
 
 
-def test_a_server_that_swallows_a_class_gets_none_of_it_and_serves_the_others() -> None:
-    """Guards against servers that answer one class and leave another to run out of time."""
+def test_a_server_that_times_out_for_one_class_is_ejected_for_that_class_alone() -> None:
+    """A server may answer one class and leave the calls of another unanswered."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
     harness.run_requests(100)
-    silent = "a0"
-    harness.balancer.host_set.servers[silent].consecutive_failures = 1  # its last call has failed too
-    end_at(harness, silent, api.Outcome.TIMEOUT, 1, "write")
+    silent_server = "a0"
+    # As if the call before had failed too.
+    harness.balancer.host_set.servers[silent_server].consecutive_failures = 1
+    end_calls_at(harness, silent_server, api.Outcome.TIMEOUT, 1, "write")
     sent: dict[str, set[str]] = {"write": set(), "read": set()}
     for i in range(400):
-        name = ("write", "read")[i % 2]
-        sent[name].add(expect_single_send(harness.start_request(name)).endpoint)
+        class_name = ("write", "read")[i % 2]
+        sent[class_name].add(expect_single_send(harness.start_request(class_name)).endpoint)
         harness.end_attempt(api.Outcome.OK, after_ms=1.0)
-    assert silent not in sent["write"]
-    assert silent in sent["read"]
+    assert silent_server not in sent["write"]
+    assert silent_server in sent["read"]
     harness.now_ms += 13000
-    again: set[str] = set()
+    sent_later: set[str] = set()
     for _ in range(100):
-        again.add(expect_single_send(harness.start_request("write")).endpoint)
+        sent_later.add(expect_single_send(harness.start_request("write")).endpoint)
         harness.end_attempt(api.Outcome.OK, after_ms=1.0)
-    assert silent in again
+    assert silent_server in sent_later
 
 
-def test_a_server_that_fails_one_class_gets_none_of_it_and_serves_the_others() -> None:
-    """Guards against trial calls of a sound class that bring a server back for the class that it fails."""
+def test_a_server_that_fails_one_class_is_ejected_for_that_class_alone() -> None:
+    """A successful trial call of another class must not readmit the server for the class that it fails."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(4)])
     sent = {"read": 0, "write": 0}
     for i in range(1200):
         class_name = ("read", "write")[i % 2]
-        bad = expect_single_send(harness.start_request(class_name)).endpoint == "a0"
-        sent[class_name] += bad
-        fails = bad and class_name == "write"
+        at_a0 = expect_single_send(harness.start_request(class_name)).endpoint == "a0"
+        sent[class_name] += at_a0
+        fails = at_a0 and class_name == "write"
         harness.end_attempt(api.Outcome.ERROR if fails else api.Outcome.OK, after_ms=10.0, request_finished=True)
     assert sent["write"] <= 8
     assert sent["read"] > 30
 
 
-def test_all_silent_servers_still_serve() -> None:
-    """Guards against emptying every level when a class runs out of time everywhere at once."""
+def test_a_class_that_times_out_at_all_servers_is_still_sent() -> None:
+    """Timeouts of a class everywhere must not leave it without a usable server."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
     for _ in range(2):
@@ -177,10 +177,10 @@
     expect_single_send(harness.start_request("write"))
 
 
-def test_a_refusing_server_gets_a_pause() -> None:
-    """Guards against filling each slot of a jammed server as it frees (incident ie6e9de)."""
+def test_a_server_that_rejects_a_call_is_ejected_for_a_short_time() -> None:
+    """A full server that is sent a new call whenever it finishes one stays full (incident ie6e9de)."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
-    full = expect_single_send(harness.start_request()).endpoint
+    full_server = expect_single_send(harness.start_request()).endpoint
     harness.end_attempt(api.Outcome.REJECTED, request_finished=True)
-    assert full not in harness.run_requests(300)
+    assert full_server not in harness.run_requests(300)
--- a/tests/test_retry_safety.py
+++ b/tests/test_retry_safety.py
@@ -388,7 +388,7 @@
 
     def _dispatch_next(self, key: str) -> None:
         if key in self.key_queues:
-            self.key_queues[key].rests_until = 0.0
+            self.key_queues[key].cooldown_until_ms = 0.0
         super()._dispatch_next(key)
 
 
