--- a/honeywharf/brain.py
+++ b/honeywharf/brain.py
@@ -15,7 +15,7 @@
 from collections import deque
 
 from honeywharf import interface as api
-from honeywharf.policy.concurrency import WORTH_POWER, Zone
+from honeywharf.policy.concurrency import WORTH_EXPONENT, ZoneLimiter
 from honeywharf.policy.host_set import HostSet
 from honeywharf.policy.outlier import OutlierDetector
 from honeywharf.policy.quota import TenantQuota
@@ -85,8 +85,8 @@
     def figures(self) -> str:
         """How each zone stands, for the operator: a few words a zone, however many servers it has."""
         return " ".join(
-            f"{name or '-'}[usable={(z.spare + 2 * z.ready) // 3}/{z.ready} calls={z.in_flight} "
-            f"limit={z.limit * z.capacity:.1f} lateness={z.lateness:.2f}]"
+            f"{name or '-'}[usable={(z.ejection_margin + 2 * z.ready_servers) // 3}/{z.ready_servers} "
+            f"calls={z.in_flight} limit={z.limit * z.capacity:.1f} lateness={z.latency_ratio:.2f}]"
             for name, z in sorted(self.host_set.zones.items()))
 
     def _woken(self, token: str) -> None:
@@ -132,8 +132,8 @@
             # begun to drain, and that it answers shows nothing, as draining servers take calls too.
             return None
         home, chance = self.host_set.zones.get(self.settings.zone), self.random.random()
-        for depth, level in enumerate(self.host_set.levels):
-            crowded = home is not None and not home.has_room(request.room, chance)
+        for depth, level in enumerate(self.host_set.priority_levels):
+            crowded = home is not None and not home.admits(request.room, chance)
             if depth == 0 and crowded and self.settings.tier == 0:
                 continue  # deeper down a refusal would only become a retry above
             server = self._pick(level, depth, request, chance)
@@ -150,24 +150,24 @@
         for _ in range(PICKS if level else 0):
             server = level[int(self.random.random() * len(level))]
             if (server is tried and len(level) > 1) or (
-                    server.warming_up and self.now < server.next_call_ms):
+                    server.warming_up and self.now < server.next_warm_up_call_ms):
                 continue
             zone = self.host_set.zones[server.endpoint.zone]
-            if depth > 0 and sheds and not zone.has_room(request.room, chance):
+            if depth > 0 and sheds and not zone.admits(request.room, chance):
                 continue
-            if (depth < 2 or sheds) and not zone.has_room(request.room, chance, server):
+            if (depth < 2 or sheds) and not zone.admits(request.room, chance, server):
                 continue
             if depth < 2 and not self._answers(server, request):
                 continue
-            if server.share >= 1.0 or self.random.random() < server.share:
+            if server.traffic_fraction >= 1.0 or self.random.random() < server.traffic_fraction:
                 return server
         return None
 
     def _answers(self, server: Server, request: Request) -> bool:
         """Whether the server is known to answer; half open, it gets one repeatable call at a time."""
-        if server.consecutive_ejections and (server.calls or request.cls.effect is api.Effect.ONCE):
+        if server.consecutive_ejections and (server.active_calls or request.cls.effect is api.Effect.ONCE):
             return False
-        ejected_until = server.class_ejected_until
+        ejected_until = server.class_ejected_until_ms
         return not ejected_until or ejected_until.get(request.cls.name, 0.0) <= self.now
 
     # Requests.
@@ -209,12 +209,12 @@
 
     def _rank(self, request: Request, tenant: str) -> None:
         """What the request is worth here, and how much of a zone's limit is open to it."""
-        request.room = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
+        request.room = min(1.0, (request.worth / self.mean_worth) ** WORTH_EXPONENT)
         bucket = self.buckets.get(tenant)
         if bucket is None and tenant in self.tenants:
             quota = self.tenants[tenant].quota_per_s / self.settings.balancers
             bucket = self.buckets[tenant] = TenantQuota(quota / 1000.0, quota, self.now)
-        if bucket is not None and not bucket.take(self.now):
+        if bucket is not None and not bucket.try_take(self.now):
             request.worth *= self.settings.over_share_worth
             request.room *= OVER_SHARE_ROOM
         self.mean_worth += (request.worth - self.mean_worth) / 100.0
@@ -237,7 +237,7 @@
         leave_within_ms = min(request.latest_repeat(), self.list_usable_until_ms) - self.now
         attempt = Attempt(request.id, server, zone, self.now, self.now, server.ejections)
         request.attempts.append(attempt)
-        server.calls[attempt] = None
+        server.active_calls[attempt] = None
         zone.in_flight += 1
         if server.warming_up:
             self.host_set.schedule_warm_up_call(server, 0.5, 1.5, self.now)
@@ -272,7 +272,7 @@
             return
         attempt.live, attempt.ran = False, event.outcome not in api.NEVER_RAN
         attempt.left_ms = attempt.sent_ms + event.waited_ms
-        attempt.server.calls.pop(attempt, None)
+        attempt.server.active_calls.pop(attempt, None)
         attempt.release()
         if attempt.ejections == attempt.server.ejections and not attempt.hangs:  # else this is old news
             self._teach(attempt.zone, request, event)
@@ -291,7 +291,7 @@
         if event.outcome is api.Outcome.OK and not attempt.hangs:
             self._overtake(attempt, request.cls)
 
-    def _teach(self, zone: Zone, request: Request, event: api.AttemptEnded) -> None:
+    def _teach(self, zone: ZoneLimiter, request: Request, event: api.AttemptEnded) -> None:
         cls = request.cls
         # The aim alone says what is late: the best times seen lie far under the ordinary ones.
         rejected = event.outcome is api.Outcome.REJECTED
@@ -299,7 +299,7 @@
         # Guards against taking what failed early (a refused connection, a fault, little time left) for a zone
         # at ease: only an answer shows ease, the rest at most that it came so late.
         if event.outcome is api.Outcome.OK or (event.outcome not in UNREACHED and lateness > 1.0):
-            zone.learn(lateness, self.now)
+            zone.adapt_limit(lateness, self.now)
 
     def _again(self, request: Request, outcome: api.Outcome) -> None:
         """A further attempt within the rules and the retry budget, else the final answer."""
@@ -323,7 +323,7 @@
         if self.now - answered.sent_ms > latency.slow_ms(cls.name) or not latency.is_settled(cls.name):
             return
         hung = []
-        for call in answered.server.calls:
+        for call in answered.server.active_calls:
             request = self.requests.get(call.request)
             if request is None or call.sent_ms >= answered.sent_ms:
                 break
@@ -331,7 +331,7 @@
                 hung.append((call, request))
         for call, request in hung:
             call.hangs = True
-            del call.server.calls[call]
+            del call.server.active_calls[call]
             call.release()
             if call.ejections == call.server.ejections:
                 self.outliers.record_hung_call(call.server, self.now)
--- a/honeywharf/policy/host_set.py
+++ b/honeywharf/policy/host_set.py
@@ -6,7 +6,7 @@
 from collections import Counter
 
 from honeywharf import interface as api
-from honeywharf.policy.concurrency import Zone
+from honeywharf.policy.concurrency import ZoneLimiter
 from honeywharf.policy.server import Server
 
 REFRESH_INTERVAL_MS = 250.0  # how often slowly changing figures are renewed: short against any trouble
@@ -22,12 +22,12 @@
 PEAK_DECAY_MS = 60000.0  # in which the peak rate fades: it stays known while nothing answers
 
 
-class AnswerRate:
+class ResponseRate:
     """The rate of answers of one warm server to this balancer, in answers a millisecond, and its peak."""
 
     def __init__(self, min_rate: float) -> None:
         self.min_rate = self.rate = self.peak = min_rate
-        self.answers = 0  # since the last update
+        self.responses = 0  # since the last update
         self.updated_ms = 0.0
 
     def update(self, shares: float, now: float) -> None:
@@ -35,10 +35,10 @@
         elapsed_ms = max(1.0, now - self.updated_ms)
         window_ms = max(RATE_WINDOW_MS, RATE_WINDOW_ANSWERS / (self.rate * shares))
         weight = min(1.0, elapsed_ms / window_ms)
-        measured = self.answers / elapsed_ms / shares
+        measured = self.responses / elapsed_ms / shares
         self.rate = max(self.min_rate, self.rate + (measured - self.rate) * weight)
         self.peak = max(self.rate, self.peak * (1.0 - min(1.0, elapsed_ms / PEAK_DECAY_MS)))
-        self.answers, self.updated_ms = 0, now
+        self.responses, self.updated_ms = 0, now
 
 
 class HostSet:
@@ -52,13 +52,13 @@
         self.settings = settings
         self.random = rng
         self.servers: dict[str, Server] = {}
-        self.zones: dict[str, Zone] = {}
+        self.zones: dict[str, ZoneLimiter] = {}
         self.usable: list[Server] = []
-        self.levels: list[list[Server]] = [[], [], []]
+        self.priority_levels: list[list[Server]] = [[], [], []]
         self.refresh_due_ms = 0.0
         aim = max(c.aim_ms for c in settings.classes)
         # At least one answer for each aim, over all balancers.
-        self.answer_rate = AnswerRate(1.0 / (aim * settings.balancers))
+        self.response_rate = ResponseRate(1.0 / (aim * settings.balancers))
 
     def update(self, event: api.EndpointsListed, now: float) -> None:
         """Take in a list that has arrived, or the changes to the last one."""
@@ -71,7 +71,7 @@
         self.refresh(now)
 
     def _update_server(self, endpoint: api.Endpoint, now: float) -> None:
-        self.zones.setdefault(endpoint.zone, Zone())
+        self.zones.setdefault(endpoint.zone, ZoneLimiter())
         known = self.servers.get(endpoint.id)
         if endpoint.state is api.EndpointState.GONE:
             self.servers.pop(endpoint.id, None)
@@ -93,17 +93,18 @@
         ready = [s for s in self.servers.values() if s.endpoint.state is api.EndpointState.READY]
         for server in ready:
             if server.endpoint.started_ms is None and server.relative_latency <= FULL_SHARE_LATENCY:
-                server.warming_up, server.share = False, 1.0  # most of thousands: the same, in less time
+                # most of thousands: the same, in less time
+                server.warming_up, server.traffic_fraction = False, 1.0
                 continue
             latency_share = min(1.0, FULL_SHARE_LATENCY / server.relative_latency) ** 2
             warm_fraction = self._warm_fraction(server.endpoint, now)
             server.warming_up = warm_fraction < 1.0
-            server.share = warm_fraction * max(MIN_LATENCY_SHARE, latency_share)
+            server.traffic_fraction = warm_fraction * max(MIN_LATENCY_SHARE, latency_share)
         # Ejection never leaves a live fleet unusable: with none usable, all that are ready count as usable.
-        self.usable = [s for s in ready if s.ejected_until <= now] or ready
-        self.answer_rate.update(sum(s.share for s in self.usable) or 1.0, now)
+        self.usable = [s for s in ready if s.ejected_until_ms <= now] or ready
+        self.response_rate.update(sum(s.traffic_fraction for s in self.usable) or 1.0, now)
         local = [s for s in self.usable if s.endpoint.zone == self.settings.zone]
-        self.levels = [local, self.usable, self.usable]
+        self.priority_levels = [local, self.usable, self.usable]
         self._refresh_zones(ready)
 
     def _refresh_zones(self, ready: list[Server]) -> None:
@@ -111,19 +112,19 @@
         initial_limit /= self.settings.balancers
         for zone in self.zones.values():
             zone.limit = zone.limit or initial_limit  # the limit keeps what it has learned
-            zone.first = initial_limit
-            zone.spare, zone.ready, zone.capacity = 0, 0, 0.0
+            zone.initial_limit = initial_limit
+            zone.ejection_margin, zone.ready_servers, zone.capacity = 0, 0, 0.0
         for name, count in Counter([s.endpoint.zone for s in ready]).items():
-            self.zones[name].spare -= 2 * count
-            self.zones[name].ready += count
+            self.zones[name].ejection_margin -= 2 * count
+            self.zones[name].ready_servers += count
         mean_size = sum(s.endpoint.size for s in ready) / max(1, len(ready)) or 1.0
         for server in self.usable:
             endpoint = server.endpoint
-            server.capacity = server.share * endpoint.size / mean_size
+            server.capacity = server.traffic_fraction * endpoint.size / mean_size
             zone = self.zones[endpoint.zone]
             # Guards against overloading the first cold servers of a zone that has lost all others.
             zone.capacity += server.capacity
-            zone.spare += 3
+            zone.ejection_margin += 3
 
     def _warm_fraction(self, endpoint: api.Endpoint, now: float) -> float:
         """The part of its capacity that a server has at least, by the time since it started.
@@ -144,17 +145,18 @@
         """
         part = self.settings.rules.cold_multiple / WARM_UP_MARGIN * self._warm_fraction(server.endpoint, now)
         intervals = self.random.uniform(min_intervals, max_intervals)
-        server.next_call_ms = now + intervals / (part * self.answer_rate.peak)
+        server.next_warm_up_call_ms = now + intervals / (part * self.response_rate.peak)
 
-    def can_spare(self, server: Server) -> bool:
+    def can_eject(self, server: Server) -> bool:
         """Whether two thirds of its zone stay usable: if more is slow, the trouble is not the server's.
 
         One or two servers are too few to measure that: there the whole fleet counts, and calls spill to it.
         """
         zone = self.zones[server.endpoint.zone]
-        return zone.spare >= 3 or (zone.ready < 3 and sum(z.spare for z in self.zones.values()) >= 3)
+        return zone.ejection_margin >= 3 or (
+            zone.ready_servers < 3 and sum(z.ejection_margin for z in self.zones.values()) >= 3)
 
-    def keeps_half_without_one(self) -> bool:
+    def keeps_half_after_one_ejection(self) -> bool:
         """Whether at least half of all ready servers stay usable with one usable server less."""
-        ready = sum(z.ready for z in self.zones.values())
+        ready = sum(z.ready_servers for z in self.zones.values())
         return 2 * (len(self.usable) - 1) >= ready
--- a/honeywharf/policy/outlier.py
+++ b/honeywharf/policy/outlier.py
@@ -70,7 +70,7 @@
         if outcome is api.Outcome.REJECTED:
             self._record_failure(server, request.cls.name, outcome, now)
             # Guards against filling each slot of an overloaded server at the moment it frees.
-            if server.ejected_until <= now and self.host_set.can_spare(server):
+            if server.ejected_until_ms <= now and self.host_set.can_eject(server):
                 self.eject(server, OVERLOAD_EJECTION_MS, now)
             return
         self._update_failure_rate(server, failed=outcome is not api.Outcome.OK)
@@ -88,9 +88,9 @@
     def eject(self, server: Server, base_ms: float, now: float) -> None:
         """Take the server out for a while; the first calls after that are trials, one at a time."""
         backoff = 2 ** min(server.consecutive_ejections, MAX_EJECTION_DOUBLINGS)
-        server.ejected_until = now + base_ms * backoff * self.random.uniform(*EJECTION_JITTER)
+        server.ejected_until_ms = now + base_ms * backoff * self.random.uniform(*EJECTION_JITTER)
         server.ejections += 1
-        for call in server.calls:  # they no longer hold others up
+        for call in server.active_calls:  # they no longer hold others up
             call.release()
         server.anomaly_score = EJECTION_SCORE / 2
         server.consecutive_ejections += 1
@@ -108,9 +108,9 @@
         server.relative_latency += (relative - server.relative_latency) / RELATIVE_LATENCY_ANSWERS
         self.latency.add(class_name, latency_ms)
         server.consecutive_failures = 0
-        server.class_ejected_until.pop(class_name, None)
+        server.class_ejected_until_ms.pop(class_name, None)
         server.class_errors.pop(class_name, None)
-        self.host_set.answer_rate.answers += 1
+        self.host_set.response_rate.responses += 1
         score_step = relative - SLOW_LATENCY
         if score_step < 0:
             server.consecutive_ejections = 0
@@ -122,11 +122,11 @@
             errors = server.class_errors[class_name] = server.class_errors.get(class_name, 0) + 1
         timed_out_again = outcome is api.Outcome.TIMEOUT and server.consecutive_failures > 0
         if timed_out_again or (errors >= CONSECUTIVE_CLASS_ERRORS and (
-                class_name in server.class_ejected_until or self._stands_out(server))):
+                class_name in server.class_ejected_until_ms or self._stands_out(server))):
             # Guards against a server that answers none of a class, or with errors: trial calls of one that it
             # serves would bring it back for all. A single time-out may be a connection that has gone dead.
             duration_ms = CLASS_EJECTION_MS * self.random.uniform(*EJECTION_JITTER)
-            server.class_ejected_until[class_name] = now + duration_ms
+            server.class_ejected_until_ms[class_name] = now + duration_ms
         # A refused connection shows a dead process; one that did not come up in time may be chance.
         server.consecutive_failures += 2 if outcome is api.Outcome.CONNECT_FAILED else 1
 
@@ -136,8 +136,8 @@
         is_outlier = (
             server.consecutive_failures >= CONSECUTIVE_FAILURES or server.anomaly_score >= EJECTION_SCORE)
         # Guards against emptying a zone for what a tier behind all its servers gets wrong.
-        if server.ejected_until <= now and is_outlier and (
-                dead or self.host_set.can_spare(server) or self._stands_out(server)):
+        if server.ejected_until_ms <= now and is_outlier and (
+                dead or self.host_set.can_eject(server) or self._stands_out(server)):
             self.eject(server, BASE_EJECTION_MS, now)
 
     def _had_short_deadline(self, request: Request, event: api.AttemptEnded) -> bool:
@@ -163,4 +163,4 @@
             if s is not server and s.failure_rate is not None]
         usual = sum(others) / len(others) if others else 1.0
         is_failing = (server.failure_rate or 0.0) > OUTLIER_FAILURE_RATE + 2.0 * usual
-        return is_failing and self.host_set.keeps_half_without_one()
+        return is_failing and self.host_set.keeps_half_after_one_ejection()
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -14,7 +14,7 @@
 from honeywharf import interface as api
 
 if TYPE_CHECKING:
-    from honeywharf.policy.concurrency import Zone
+    from honeywharf.policy.concurrency import ZoneLimiter
     from honeywharf.policy.server import Server
 
 
@@ -24,7 +24,7 @@
 
     request: str
     server: Server
-    zone: Zone
+    zone: ZoneLimiter
     sent_ms: float
     left_ms: float  # when its bytes left, as far as is known
     ejections: int  # of the server when it was sent
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -192,16 +192,16 @@
         driver.request()
         driver.end(api.Outcome.OK, after_ms=50.0)
     assert zone.limit == first
-    zone.limit = zone.first * 2.0
+    zone.limit = zone.initial_limit * 2.0
     zone.in_flight = 100  # it is all in use, for a second of answers at half of what counts as ease
     for _ in range(20):
         driver.now += 50.0
-        zone.learn(0.5, driver.now)
-    assert zone.first * 2.0 < zone.limit < zone.first * 3.0
+        zone.adapt_limit(0.5, driver.now)
+    assert zone.initial_limit * 2.0 < zone.limit < zone.initial_limit * 3.0
     for _ in range(20):  # and lowering is the faster way
         driver.now += 50.0
-        zone.learn(2.0, driver.now)
-    assert zone.limit < zone.first
+        zone.adapt_limit(2.0, driver.now)
+    assert zone.limit < zone.initial_limit
 
 
 @pytest.mark.parametrize("outcome", [
@@ -210,7 +210,7 @@
     driver = Driver(make_settings(limits=api.Limits(max_attempts=1)))
     driver.list(TWO_ZONES[:4])
     zone = driver.balancer.host_set.zones["a"]
-    zone.lateness, before = 0.0, zone.limit
+    zone.latency_ratio, before = 0.0, zone.limit
     for _ in range(3):
         driver.request()
         zone.in_flight += 50  # in use
@@ -227,10 +227,10 @@
     driver = Driver(make_settings(limits=api.Limits(max_attempts=1)))
     driver.list(TWO_ZONES[:4])
     zone = driver.balancer.host_set.zones["a"]
-    zone.lateness = before = 0.9
+    zone.latency_ratio = before = 0.9
     driver.request()
     driver.end(outcome, after_ms=1.0)
-    assert zone.lateness == before
+    assert zone.latency_ratio == before
     driver.request()
     driver.end(outcome, after_ms=1900.0)
-    assert zone.lateness > before
+    assert zone.latency_ratio > before
--- a/tests/test_host_set.py
+++ b/tests/test_host_set.py
@@ -90,7 +90,7 @@
             driver.now += rng.expovariate(per_s) * 1000.0 - 50.0
             driver.request()
             driver.end(api.Outcome.OK)
-        rates.append(driver.balancer.host_set.answer_rate.peak)
+        rates.append(driver.balancer.host_set.response_rate.peak)
     assert 0.6 < sum(rates) / len(rates) / (per_s / 1000.0 / 10) < 1.5
 
 
--- a/tests/test_hurry.py
+++ b/tests/test_hurry.py
@@ -37,7 +37,7 @@
             servers = balancer.host_set.servers.values()
             assert [s.ejections for s in servers] == [0, 0, 0]
             assert not any(
-                s.class_ejected_until or s.consecutive_failures or s.anomaly_score for s in servers)
+                s.class_ejected_until_ms or s.consecutive_failures or s.anomaly_score for s in servers)
             assert {name: zone.limit for name, zone in balancer.host_set.zones.items()} == before
         for backend in backends:
             await backend.stop()
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -114,7 +114,7 @@
     everyone = {f"a{i}" for i in range(6)}
     for _ in range(50):
         answer(driver, 5, everyone)
-        assert sum(s.ejected_until <= driver.now for s in driver.balancer.host_set.servers.values()) >= 4
+        assert sum(s.ejected_until_ms <= driver.now for s in driver.balancer.host_set.servers.values()) >= 4
 
 
 def test_a_server_that_swallows_a_class_gets_none_of_it_and_serves_the_others() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -322,7 +322,7 @@
     assert not balancer.requests
     assert not balancer.lines
     assert not balancer.waiting
-    assert all(not s.calls for s in balancer.host_set.servers.values())
+    assert all(not s.active_calls for s in balancer.host_set.servers.values())
 
 
 class SendsTwice(Balancer):
