--- a/honeywharf/policy/__init__.py
+++ b/honeywharf/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The parts of the balancer's decisions, each with its state: one concern a module."""
+"""The policies of the balancer: each module makes one kind of decision and keeps the state for it."""
--- a/honeywharf/policy/concurrency.py
+++ b/honeywharf/policy/concurrency.py
@@ -1,4 +1,4 @@
-"""The concurrency limit of a zone, adapted to how late its answers come."""
+"""The concurrency limit of a zone, which adapts to the latency of its responses."""
 
 from __future__ import annotations
 
@@ -8,55 +8,78 @@
 if TYPE_CHECKING:
     from honeywharf.policy.server import Server
 
-LEAST_PART = 0.25  # of its first value that a limit keeps: so few calls let any jam drain
-SLOW_START = 4.0  # how much faster a limit under its first value grows: that much is known to be safe
-SLIVER = 1.0  # call over the limit, by worth: a limit of about one turns a third away by chance alone
-ADAPT_MS = 500.0  # time in which answers late by once the ease would lower a limit e-fold: a round trip
-# How much slower a limit grows, and the part of it that must be in use. Guards against running away: answers
-GROWTH, IN_USE = 5.0, 0.8  # tell of a limit late, and what was let in by then jams servers for long
-FOLLOWS = 0.3  # of an answer, in that mean: single ones come late by chance, and lowering goes faster
-ANSWER_SPAN_MS = 250.0  # the longest time that one answer may speak for
-WORTH_EXPONENT = 0.4  # a request may use its worth over the mean request's, to this power, of a limit
+#: A limit never falls below this fraction of its initial value: with so few calls, any congestion clears.
+MIN_LIMIT_FRACTION = 0.25
+#: A limit below its initial value grows this many times faster, because that many calls are known to be safe.
+RECOVERY_SPEEDUP = 4.0
+#: Calls admitted beyond the limit, in proportion to the request's worth. Without them, a limit of about one
+#: call rejects a third of the calls by chance alone.
+EXTRA_CALLS = 1.0
+#: Responses that take twice the target lower a limit by a factor of e in this time, which is one round trip.
+ADAPTATION_TIME_MS = 500.0
+#: A limit grows this many times more slowly than it falls. Otherwise it overshoots: responses show only
+#: after a delay that a limit is too high, and the calls admitted by then congest the servers for a long time.
+GROWTH_SLOWDOWN = 5.0
+#: A limit grows only while more than this fraction of it is in use. Otherwise it would grow without
+#: bound at low traffic, and the next burst would congest the servers.
+MIN_UTILIZATION_TO_GROW = 0.8
+#: Weight of the newest response in the running mean of latency ratios. Single responses are late by chance,
+#: and would lower the limit more than the others raise it, because it falls faster than it grows.
+LATENCY_RATIO_SMOOTHING = 0.3
+#: One response adapts the limit as if at most this much time had passed since the previous one.
+MAX_RESPONSE_SPAN_MS = 250.0
+#: A request may use this power of its worth, relative to the mean worth of requests, as its share of a limit.
+WORTH_EXPONENT = 0.4
 
 
 @dataclass(slots=True, eq=False)
 class ZoneLimiter:
-    """The concurrency limit of one zone: calls in flight per usable server, adapted to answer latency."""
+    """Limits the calls in flight to one zone and counts its ready servers.
+
+    `limit` is in calls in flight per unit of capacity. A warm server of mean weight has a capacity of 1.
+    """
 
     in_flight: int = 0
     limit: float = 0.0
     initial_limit: float = 0.0
-    learned_ms: float = 0.0
-    latency_ratio: float = 1.0  # the running mean of late answers
-    capacity: float = 0.0  # that of its usable servers
+    last_adapted_ms: float = 0.0
+    latency_ratio: float = 1.0  # The running mean of latency relative to its target.
+    capacity: float = 0.0  # The sum over the usable servers of the zone.
     ready_servers: int = 0
-    ejection_margin: int = 0  # usable servers, less two for each that is ejected
+    ejection_margin: int = 0  # The number of usable servers, less two for each ejected one.
+
+    def admits(self, limit_share: float, random_fraction: float, server: Server | None = None) -> bool:
+        """Whether one more call fits into the share of the limit that is open to it.
 
-    def admits(self, part: float, odds: float, server: Server | None = None) -> bool:
-        """Whether one more call fits into the part of the limit that is open to it; a fraction by chance.
+        `random_fraction`, from [0, 1), rounds a fractional limit up or down at random.
 
-        With a server: into its own part of that. Guards against calls that pile up on one server, or keep a
-        small one as busy as a large one, while its neighbours sit light. One that holds none is never passed
-        over: where many balancers share it its part is under one call, and the odds are the same for all.
+        If a server is given, the call must fit into that server's part of the limit. Otherwise calls pile up
+        on one server, or keep a small server as busy as a large one, while other servers have capacity left.
+        A server without active calls always admits one: where many balancers share it, its part of the limit
+        is less than one call, and all servers would reject the call alike, as `random_fraction` is the same.
         """
         if server is not None and not server.active_calls:
             return True
-        calls = self.in_flight if server is None else len(server.active_calls)
+        active_calls = self.in_flight if server is None else len(server.active_calls)
         capacity = self.capacity if server is None else server.capacity
-        sliver: float = SLIVER * part ** (1.0 / WORTH_EXPONENT)
-        return calls + odds < self.limit * capacity * part + sliver
+        extra_calls: float = EXTRA_CALLS * limit_share ** (1.0 / WORTH_EXPONENT)
+        return active_calls + random_fraction < self.limit * capacity * limit_share + extra_calls
 
-    def adapt_limit(self, lateness: float, now: float) -> None:
-        """Move the limit by one answer, which took `lateness` times what a zone at ease takes at most.
+    def adapt_limit(self, latency_ratio: float, now_ms: float) -> None:
+        """Adapt the limit to one response, which took `latency_ratio` times the target latency.
 
-        The pace is by time, not by answers, so that balancers with much and with little traffic agree.
+        The pace depends on the elapsed time and not on the number of responses, so that the limits of
+        balancers with little and with much traffic agree.
         """
-        span = min(ANSWER_SPAN_MS, now - self.learned_ms) / ADAPT_MS
-        self.learned_ms = now
-        self.latency_ratio += (min(lateness, 3.0) - self.latency_ratio) * FOLLOWS
-        short = 1.0 - self.latency_ratio
-        binds = self.in_flight > self.limit * self.capacity * IN_USE
-        if short < 0 or binds:  # a limit that does not bind has not been tried
-            if short > 0:
-                span /= GROWTH / SLOW_START if self.limit < self.initial_limit else GROWTH
-            self.limit = max(LEAST_PART * self.initial_limit, self.limit * (1.0 + max(-0.5, short * span)))
+        step = min(MAX_RESPONSE_SPAN_MS, now_ms - self.last_adapted_ms) / ADAPTATION_TIME_MS
+        self.last_adapted_ms = now_ms
+        self.latency_ratio += (min(latency_ratio, 3.0) - self.latency_ratio) * LATENCY_RATIO_SMOOTHING
+        headroom = 1.0 - self.latency_ratio
+        in_use = self.in_flight > self.limit * self.capacity * MIN_UTILIZATION_TO_GROW
+        if headroom < 0 or in_use:  # Good latency proves nothing about a limit that is not in use.
+            if headroom > 0:
+                step /= (
+                    GROWTH_SLOWDOWN / RECOVERY_SPEEDUP if self.limit < self.initial_limit
+                    else GROWTH_SLOWDOWN)
+            self.limit = max(
+                MIN_LIMIT_FRACTION * self.initial_limit, self.limit * (1.0 + max(-0.5, headroom * step)))
--- a/honeywharf/policy/host_set.py
+++ b/honeywharf/policy/host_set.py
@@ -1,4 +1,4 @@
-"""The host set: the listed servers by zone, the usable ones by priority level, and their warm-up."""
+"""The host set: the listed servers by zone, the usable ones by priority level, and their slow start."""
 
 from __future__ import annotations
 
@@ -9,43 +9,54 @@
 from honeywharf.policy.concurrency import ZoneLimiter
 from honeywharf.policy.server import Server
 
-REFRESH_INTERVAL_MS = 250.0  # how often slowly changing figures are renewed: short against any trouble
-#: Up to this relative latency a server keeps its even share; a slower one gets less, by the square.
-FULL_SHARE_LATENCY = 1.2
-MIN_LATENCY_SHARE = 0.2  # what a slow server keeps of its even share at least
-# Calls that a server of which nothing is known may hold, for itself and each tier below: one in work and one
-# that waits for it. With one alone a core idles whenever its call waits for anything else.
-INITIAL_CALLS = 2.0
-WARM_UP_MARGIN = 3.0  # of the multiple that overloads a cold server, a third: calls come by chance and differ
-RATE_WINDOW_MS = 5000.0  # over which the rate of answers is formed,
-RATE_WINDOW_ANSWERS = 20.0  # and over so many answers at least: by chance the peak is then a fifth too high
-PEAK_DECAY_MS = 60000.0  # in which the peak rate fades: it stays known while nothing answers
+#: Interval between updates of slowly changing figures. It is short compared with the failures to react to.
+REFRESH_INTERVAL_MS = 250.0
+#: Up to this relative latency, a server gets its even share of the traffic. A slower one gets a smaller
+#: fraction of it, by the square of its relative latency.
+FULL_TRAFFIC_LATENCY = 1.2
+#: A slow server gets at least this fraction of its even share.
+MIN_LATENCY_FRACTION = 0.2
+#: The initial limit per server allows this many calls for its own tier and again for each tier below: one in
+#: progress and one queued behind it. With only one, a core idles whenever its call waits for something else.
+INITIAL_CALLS_PER_TIER = 2.0
+#: A cold server gets a third of the load that would overload it, because calls arrive at random and differ in
+#: their work.
+SLOW_START_SAFETY_FACTOR = 3.0
+#: The response rate is averaged over this time, and over at least this many responses. With so few, chance
+#: makes the peak rate a fifth too high.
+RATE_WINDOW_MS = 5000.0
+RATE_WINDOW_RESPONSES = 20.0
+#: The peak rate decays over this time, so that it stays known while no server responds.
+PEAK_DECAY_MS = 60000.0
 
 
 class ResponseRate:
-    """The rate of answers of one warm server to this balancer, in answers a millisecond, and its peak."""
+    """The rate of responses from one warm server to this balancer, per millisecond, and its recent peak."""
 
     def __init__(self, min_rate: float) -> None:
         self.min_rate = self.rate = self.peak = min_rate
-        self.responses = 0  # since the last update
+        self.responses = 0  # Responses since the last update.
         self.updated_ms = 0.0
 
-    def update(self, shares: float, now: float) -> None:
-        """Take in the answers since the last update, which servers with these shares in sum have given."""
-        elapsed_ms = max(1.0, now - self.updated_ms)
-        window_ms = max(RATE_WINDOW_MS, RATE_WINDOW_ANSWERS / (self.rate * shares))
+    def update(self, total_traffic_fraction: float, now_ms: float) -> None:
+        """Update the rate with the responses since the last update.
+
+        `total_traffic_fraction` is the sum over the servers that gave these responses.
+        """
+        elapsed_ms = max(1.0, now_ms - self.updated_ms)
+        window_ms = max(RATE_WINDOW_MS, RATE_WINDOW_RESPONSES / (self.rate * total_traffic_fraction))
         weight = min(1.0, elapsed_ms / window_ms)
-        measured = self.responses / elapsed_ms / shares
-        self.rate = max(self.min_rate, self.rate + (measured - self.rate) * weight)
+        measured_rate = self.responses / elapsed_ms / total_traffic_fraction
+        self.rate = max(self.min_rate, self.rate + (measured_rate - self.rate) * weight)
         self.peak = max(self.rate, self.peak * (1.0 - min(1.0, elapsed_ms / PEAK_DECAY_MS)))
-        self.responses, self.updated_ms = 0, now
+        self.responses, self.updated_ms = 0, now_ms
 
 
 class HostSet:
-    """The listed servers and their zones, with the usable servers in levels of falling priority.
+    """The listed servers and their zones, with the usable servers in levels of decreasing priority.
 
-    The levels are: the usable servers of the own zone, those of every zone, and again those of every zone,
-    for which the balancer then relaxes its checks.
+    The levels are the usable servers of the balancer's own zone, those of all zones, and once more those of
+    all zones. At the last level the balancer relaxes its checks.
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
@@ -57,106 +68,116 @@
         self.priority_levels: list[list[Server]] = [[], [], []]
         self.refresh_due_ms = 0.0
         aim = max(c.aim_ms for c in settings.classes)
-        # At least one answer for each aim, over all balancers.
+        # The minimum rate is one response per aim, summed over all balancers.
         self.response_rate = ResponseRate(1.0 / (aim * settings.balancers))
 
-    def update(self, event: api.EndpointsListed, now: float) -> None:
-        """Take in a list that has arrived, or the changes to the last one."""
+    def update(self, event: api.EndpointsListed, now_ms: float) -> None:
+        """Apply a full endpoint list or the changes to the current one."""
         if event.kind is not api.ListKind.CHANGES:
-            named = {e.id for e in event.endpoints}
-            for gone in [key for key in self.servers if key not in named]:
-                del self.servers[gone]
+            listed_ids = {e.id for e in event.endpoints}
+            for removed_id in [server_id for server_id in self.servers if server_id not in listed_ids]:
+                del self.servers[removed_id]
         for endpoint in event.endpoints:
-            self._update_server(endpoint, now)
-        self.refresh(now)
+            self._update_server(endpoint, now_ms)
+        self.refresh(now_ms)
 
-    def _update_server(self, endpoint: api.Endpoint, now: float) -> None:
+    def _update_server(self, endpoint: api.Endpoint, now_ms: float) -> None:
         self.zones.setdefault(endpoint.zone, ZoneLimiter())
-        known = self.servers.get(endpoint.id)
+        current = self.servers.get(endpoint.id)
         if endpoint.state is api.EndpointState.GONE:
             self.servers.pop(endpoint.id, None)
-        elif known is None or known.endpoint.started_ms != endpoint.started_ms:
-            server = self.servers[endpoint.id] = Server(endpoint)  # a new process has a clean record
-            if self._warm_fraction(endpoint, now) < 1.0:
-                self.schedule_warm_up_call(server, 0.0, 1.0, now)
+        elif current is None or current.endpoint.started_ms != endpoint.started_ms:
+            # A restarted process starts without the health record of its predecessor.
+            server = self.servers[endpoint.id] = Server(endpoint)
+            if self._warm_fraction(endpoint, now_ms) < 1.0:
+                self.schedule_warm_up_call(server, 0.0, 1.0, now_ms)
         else:
-            known.endpoint = endpoint
-
-    def refresh_if_due(self, now: float) -> None:
-        """Refresh once the interval since the last time has passed."""
-        if now >= self.refresh_due_ms:
-            self.refresh(now)
-
-    def refresh(self, now: float) -> None:
-        """Renew each server's share, the levels, and what the zones know of their servers."""
-        self.refresh_due_ms = now + REFRESH_INTERVAL_MS
-        ready = [s for s in self.servers.values() if s.endpoint.state is api.EndpointState.READY]
-        for server in ready:
-            if server.endpoint.started_ms is None and server.relative_latency <= FULL_SHARE_LATENCY:
-                # most of thousands: the same, in less time
+            current.endpoint = endpoint
+
+    def refresh_if_due(self, now_ms: float) -> None:
+        """Refresh if the refresh interval has passed since the last refresh."""
+        if now_ms >= self.refresh_due_ms:
+            self.refresh(now_ms)
+
+    def refresh(self, now_ms: float) -> None:
+        """Recompute each server's traffic fraction, the priority levels and the figures of each zone."""
+        self.refresh_due_ms = now_ms + REFRESH_INTERVAL_MS
+        ready_servers = [s for s in self.servers.values() if s.endpoint.state is api.EndpointState.READY]
+        for server in ready_servers:
+            if server.endpoint.started_ms is None and server.relative_latency <= FULL_TRAFFIC_LATENCY:
+                # This shortcut saves time for most of the thousands of servers that a list may hold. The
+                # code below gives the same result.
                 server.warming_up, server.traffic_fraction = False, 1.0
                 continue
-            latency_share = min(1.0, FULL_SHARE_LATENCY / server.relative_latency) ** 2
-            warm_fraction = self._warm_fraction(server.endpoint, now)
+            latency_fraction = min(1.0, FULL_TRAFFIC_LATENCY / server.relative_latency) ** 2
+            warm_fraction = self._warm_fraction(server.endpoint, now_ms)
             server.warming_up = warm_fraction < 1.0
-            server.traffic_fraction = warm_fraction * max(MIN_LATENCY_SHARE, latency_share)
-        # Ejection never leaves a live fleet unusable: with none usable, all that are ready count as usable.
-        self.usable = [s for s in ready if s.ejected_until_ms <= now] or ready
-        self.response_rate.update(sum(s.traffic_fraction for s in self.usable) or 1.0, now)
-        local = [s for s in self.usable if s.endpoint.zone == self.settings.zone]
-        self.priority_levels = [local, self.usable, self.usable]
-        self._refresh_zones(ready)
-
-    def _refresh_zones(self, ready: list[Server]) -> None:
-        initial_limit = INITIAL_CALLS * (self.settings.tiers - self.settings.tier) * self.settings.zones
-        initial_limit /= self.settings.balancers
+            server.traffic_fraction = warm_fraction * max(MIN_LATENCY_FRACTION, latency_fraction)
+        # If all ready servers are ejected, all of them count as usable: ejection must not stop the traffic.
+        self.usable = [s for s in ready_servers if s.ejected_until_ms <= now_ms] or ready_servers
+        self.response_rate.update(sum(s.traffic_fraction for s in self.usable) or 1.0, now_ms)
+        own_zone_servers = [s for s in self.usable if s.endpoint.zone == self.settings.zone]
+        self.priority_levels = [own_zone_servers, self.usable, self.usable]
+        self._refresh_zones(ready_servers)
+
+    def _refresh_zones(self, ready_servers: list[Server]) -> None:
+        default_limit = (
+            INITIAL_CALLS_PER_TIER * (self.settings.tiers - self.settings.tier) * self.settings.zones)
+        default_limit /= self.settings.balancers
         for zone in self.zones.values():
-            zone.limit = zone.limit or initial_limit  # the limit keeps what it has learned
-            zone.initial_limit = initial_limit
+            zone.limit = zone.limit or default_limit  # A limit that has adapted is kept.
+            zone.initial_limit = default_limit
             zone.ejection_margin, zone.ready_servers, zone.capacity = 0, 0, 0.0
-        for name, count in Counter([s.endpoint.zone for s in ready]).items():
+        for name, count in Counter([s.endpoint.zone for s in ready_servers]).items():
             self.zones[name].ejection_margin -= 2 * count
             self.zones[name].ready_servers += count
-        mean_size = sum(s.endpoint.size for s in ready) / max(1, len(ready)) or 1.0
+        mean_weight = sum(s.endpoint.size for s in ready_servers) / max(1, len(ready_servers)) or 1.0
         for server in self.usable:
             endpoint = server.endpoint
-            server.capacity = server.traffic_fraction * endpoint.size / mean_size
+            server.capacity = server.traffic_fraction * endpoint.size / mean_weight
             zone = self.zones[endpoint.zone]
-            # Guards against overloading the first cold servers of a zone that has lost all others.
+            # A cold server adds only its reduced capacity. Otherwise the first cold servers of a zone that
+            # has lost all others would be overloaded.
             zone.capacity += server.capacity
             zone.ejection_margin += 3
 
-    def _warm_fraction(self, endpoint: api.Endpoint, now: float) -> float:
-        """The part of its capacity that a server has at least, by the time since it started.
+    def _warm_fraction(self, endpoint: api.Endpoint, now_ms: float) -> float:
+        """The fraction of its full capacity that a server has at least, given the time since its start.
 
-        Guards against overloading a cold server: its part of the calls never exceeds its part of capacity.
+        The server gets at most this fraction of its share of the calls, so that it is not overloaded while it
+        is cold.
         """
         rules = self.settings.rules
         if endpoint.started_ms is None or rules.warm_after_ms <= 0:
             return 1.0
-        age = max(0.0, now - endpoint.started_ms) / rules.warm_after_ms
+        age = max(0.0, now_ms - endpoint.started_ms) / rules.warm_after_ms
         return min(1.0, rules.cold_share + (1.0 - rules.cold_share) * age)
 
     def schedule_warm_up_call(
-            self, server: Server, min_intervals: float, max_intervals: float, now: float) -> None:
-        """Set when the cold server may get its next call from this balancer: so many mean intervals from now.
+            self, server: Server, min_intervals: float, max_intervals: float, now_ms: float) -> None:
+        """Set the earliest time of the next call from this balancer to a cold server.
 
-        Guards against overloading it: all balancers together send its part of what warm servers answered.
+        The delay is a random number of mean intervals, from `min_intervals` to `max_intervals`. The interval
+        is such that all balancers together send the server a fraction of the rate at which a warm server has
+        responded. Otherwise they would overload it.
         """
-        part = self.settings.rules.cold_multiple / WARM_UP_MARGIN * self._warm_fraction(server.endpoint, now)
+        rate_fraction = (
+            self.settings.rules.cold_multiple / SLOW_START_SAFETY_FACTOR
+            * self._warm_fraction(server.endpoint, now_ms))
         intervals = self.random.uniform(min_intervals, max_intervals)
-        server.next_warm_up_call_ms = now + intervals / (part * self.response_rate.peak)
+        server.next_warm_up_call_ms = now_ms + intervals / (rate_fraction * self.response_rate.peak)
 
     def can_eject(self, server: Server) -> bool:
-        """Whether two thirds of its zone stay usable: if more is slow, the trouble is not the server's.
+        """Whether two thirds of the server's zone stay usable if the server is ejected.
 
-        One or two servers are too few to measure that: there the whole fleet counts, and calls spill to it.
+        If more of the zone is slow, the cause is not this server. A zone of one or two servers is too small
+        to tell: there the whole fleet must have the margin, and calls spill over to the other zones.
         """
         zone = self.zones[server.endpoint.zone]
         return zone.ejection_margin >= 3 or (
             zone.ready_servers < 3 and sum(z.ejection_margin for z in self.zones.values()) >= 3)
 
     def keeps_half_after_one_ejection(self) -> bool:
-        """Whether at least half of all ready servers stay usable with one usable server less."""
-        ready = sum(z.ready_servers for z in self.zones.values())
-        return 2 * (len(self.usable) - 1) >= ready
+        """Whether at least half of all ready servers stay usable if one more is ejected."""
+        ready_servers = sum(z.ready_servers for z in self.zones.values())
+        return 2 * (len(self.usable) - 1) >= ready_servers
--- a/honeywharf/policy/quota.py
+++ b/honeywharf/policy/quota.py
@@ -1,26 +1,28 @@
-"""The quota of a tenant at this balancer, as a token bucket."""
+"""A tenant's quota at this balancer, enforced with a token bucket."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-QUOTA_BURST_MS = 5000.0  # of its share that a tenant may save: one balancer sees few of its calls
+#: How much unused quota a tenant may save up, in time. One balancer sees only few of a tenant's requests, so
+#: they arrive unevenly.
+QUOTA_BURST_MS = 5000.0
 
 
 @dataclass(slots=True, eq=False)
 class TenantQuota:
-    """A token bucket for one tenant's share at this balancer: its quota divided by the balancers."""
+    """A token bucket that refills at the tenant's quota divided by the number of balancers."""
 
     tokens_per_ms: float
     tokens: float
     refilled_ms: float
 
-    def try_take(self, now: float) -> bool:
-        """Whether one more request is within the share."""
+    def try_take(self, now_ms: float) -> bool:
+        """Refill the bucket and take one token; returns False if the tenant is over its quota."""
         self.tokens = min(
             QUOTA_BURST_MS * self.tokens_per_ms,
-            self.tokens + (now - self.refilled_ms) * self.tokens_per_ms)
-        self.refilled_ms = now
+            self.tokens + (now_ms - self.refilled_ms) * self.tokens_per_ms)
+        self.refilled_ms = now_ms
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/honeywharf/policy/server.py
+++ b/honeywharf/policy/server.py
@@ -1,4 +1,4 @@
-"""The state kept for each server: its calls in flight and its health, which outlier ejection judges."""
+"""The state kept for each server: its active calls, its health for outlier ejection, and its capacity."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
     """The state that this balancer keeps for one listed endpoint."""
 
     endpoint: api.Endpoint
-    # out, the oldest first; not those that hang
+    # The calls in flight from the oldest to the newest, without those that hang.
     active_calls: dict[Attempt, None] = field(default_factory=dict)
-    class_ejected_until_ms: dict[str, float] = field(default_factory=dict)  # by class, for that class alone
-    class_errors: dict[str, int] = field(default_factory=dict)  # by class, in a row
+    # By class name: until when the server gets no calls of that class.
+    class_ejected_until_ms: dict[str, float] = field(default_factory=dict)
+    class_errors: dict[str, int] = field(default_factory=dict)  # Consecutive errors by class name.
     consecutive_failures: int = 0
     ejections: int = 0
-    anomaly_score: float = 0.0  # a running sum: failures and late answers raise it, fast answers lower it
-    failure_rate: float | None = None  # of its recent calls; None before the first has ended
-    relative_latency: float = 1.0  # its mean latency, in expected latencies of the classes
-    consecutive_ejections: int = 0  # without a success between them
+    anomaly_score: float = 0.0  # A running sum: failures and slow responses raise it, fast ones lower it.
+    failure_rate: float | None = None  # Over its recent calls; None until the first call has ended.
+    relative_latency: float = 1.0  # Its mean latency, relative to the expected latency of each class.
+    consecutive_ejections: int = 0  # Ejections since the last response that was not slow.
     ejected_until_ms: float = 0.0
     warming_up: bool = False
-    next_warm_up_call_ms: float = 0.0  # while it warms up: nothing is sent to it before
-    traffic_fraction: float = 1.0  # of the even share that it is given; under 1 while it warms up
-    capacity: float = 1.0  # its share, times its registered size over the mean one
+    next_warm_up_call_ms: float = 0.0  # While the server warms up, no call is sent to it before this time.
+    traffic_fraction: float = 1.0  # Of an even share; below 1 while the server warms up or is slow.
+    capacity: float = 1.0  # The traffic fraction times the server's weight relative to the mean weight.
