--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -1,4 +1,4 @@
-"""The concurrency limits of zones: what is let in, passed over or spilled, and how limits learn."""
+"""The concurrency limits of zones: which calls they admit, reject or send elsewhere, and how they adapt."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.helpers import TWO_ZONES, Driver, endpoint, make_settings, only_send
 
 
-def test_the_wait_for_a_connection_is_no_load() -> None:
-    """Guards against limits, typical times and shares that fall as connections come up late."""
+def test_the_wait_for_a_connection_does_not_count_as_latency() -> None:
+    """Slow connects must not lower a zone's limit or a server's traffic, nor distort the expected latency."""
     driver = Driver()
     driver.list(TWO_ZONES[:4])
     before = driver.balancer.host_set.zones["a"].limit
@@ -24,181 +24,182 @@
     assert {s.relative_latency for s in driver.balancer.host_set.servers.values()} == {1.0}
 
 
-def crowd(driver: Driver, elapsed_ms: float, rounds: int) -> None:
-    """Calls at one a millisecond, all answered after `elapsed_ms`."""
-    out: list[tuple[float, str]] = []
-    for _ in range(rounds):
+def run_steady_load(driver: Driver, latency_ms: float, duration_ms: int) -> None:
+    """Make one request per millisecond; each call gets its response after `latency_ms`."""
+    in_flight: list[tuple[float, str]] = []
+    for _ in range(duration_ms):
         driver.now += 1
-        while out and out[0][0] <= driver.now:
-            _, request = out.pop(0)
-            driver.feed(api.AttemptEnded(request, 0, api.Outcome.OK, elapsed_ms, True))
+        while in_flight and in_flight[0][0] <= driver.now:
+            _, request = in_flight.pop(0)
+            driver.feed(api.AttemptEnded(request, 0, api.Outcome.OK, latency_ms, True))
         if any(isinstance(a, api.Send) for a in driver.request()):
-            out.append((driver.now + elapsed_ms, f"r{driver.count}"))
-    driver.now += elapsed_ms
-    for _, request in out:
-        driver.feed(api.AttemptEnded(request, 0, api.Outcome.OK, elapsed_ms, True))
+            in_flight.append((driver.now + latency_ms, f"r{driver.count}"))
+    driver.now += latency_ms
+    for _, request in in_flight:
+        driver.feed(api.AttemptEnded(request, 0, api.Outcome.OK, latency_ms, True))
 
 
-def test_a_crowded_zone_spills_its_surplus() -> None:
+def test_calls_beyond_the_limit_of_the_own_zone_spill_over_to_another() -> None:
     driver = Driver()
     driver.list(TWO_ZONES)
-    zones: dict[str, int] = {}
+    calls_by_zone: dict[str, int] = {}
     for _ in range(40):
         for action in driver.request():
             assert isinstance(action, api.Send)
-            zones[action.endpoint[0]] = zones.get(action.endpoint[0], 0) + 1
-        if zones.get("b"):
+            calls_by_zone[action.endpoint[0]] = calls_by_zone.get(action.endpoint[0], 0) + 1
+        if calls_by_zone.get("b"):
             break
-    assert zones["a"] >= 4
-    assert zones["b"] == 1
+    assert calls_by_zone["a"] >= 4
+    assert calls_by_zone["b"] == 1
 
 
-def hold(driver: Driver, calls: int) -> dict[str, int]:
-    """Calls that nobody answers; the number out at each server."""
-    held: dict[str, int] = {}
-    for _ in range(calls):
+def make_unanswered_requests(driver: Driver, requests: int) -> dict[str, int]:
+    """Make requests that get no response, and return the number of calls in flight at each server."""
+    in_flight: dict[str, int] = {}
+    for _ in range(requests):
         for action in driver.request():
             if isinstance(action, api.Send):
-                held[action.endpoint] = held.get(action.endpoint, 0) + 1
-    return held
+                in_flight[action.endpoint] = in_flight.get(action.endpoint, 0) + 1
+    return in_flight
 
 
-def test_a_small_server_holds_its_part_by_size_and_is_then_passed_over() -> None:
-    """Guards against even calls that bury the small servers of a zone while the large ones sit light."""
+def test_servers_get_calls_in_proportion_to_their_weights() -> None:
+    """With an even split, the small servers of a zone would be overloaded and the large ones underused."""
     driver = Driver()
     driver.list([endpoint("a0", size=4.0), endpoint("a1", size=1.0), endpoint("a2", size=1.0)])
     for zone in driver.balancer.host_set.zones.values():
         zone.limit = 8.0
-    held = hold(driver, 24)
-    assert held["a0"] > 2 * held["a1"]
-    assert held["a0"] > 2 * held["a2"]
+    in_flight = make_unanswered_requests(driver, 24)
+    assert in_flight["a0"] > 2 * in_flight["a1"]
+    assert in_flight["a0"] > 2 * in_flight["a2"]
 
 
-DEAR = api.RequestClass("dear", 1000, 2000, worth=12.0)
-CHEAP = api.RequestClass("cheap", 1000, 2000, worth=1.0)
+HIGH_WORTH = api.RequestClass("high_worth", 1000, 2000, worth=12.0)
+LOW_WORTH = api.RequestClass("low_worth", 1000, 2000, worth=1.0)
 
 
-def test_idle_servers_are_not_passed_over_where_many_share_them() -> None:
-    """Guards against turning away the class worth least while the whole fleet idles (herd+mass, npc-no-slow).
+def test_idle_servers_take_calls_where_many_balancers_share_them() -> None:
+    """The class of least worth must not be refused while all servers are idle (herd+mass at npc-no-slow).
 
-    Each of many servers has a part of less than one call of the zone's limit, which has room for several.
+    The zone's limit admits several calls, but the part of each of its many servers is less than one call.
     """
-    driver = Driver(make_settings(classes=(DEAR, CHEAP), balancers=12))
+    driver = Driver(make_settings(classes=(HIGH_WORTH, LOW_WORTH), balancers=12))
     driver.list([endpoint(f"a{i}") for i in range(30)])
     zone = driver.balancer.host_set.zones["a"]
     for _ in range(100):
         driver.now += 100
         assert zone.limit * zone.capacity > 9
-        assert isinstance(driver.request("cheap")[0], api.Send)
+        assert isinstance(driver.request("low_worth")[0], api.Send)
         driver.end(api.Outcome.OK, after_ms=50)
 
 
-def test_deeper_down_calls_stay_in_the_own_zone_where_many_share_it() -> None:
-    driver = Driver(make_settings(classes=(DEAR, CHEAP), tier=1, tiers=2, balancers=100))
+def test_calls_below_the_first_tier_stay_in_the_own_zone_where_many_balancers_share_it() -> None:
+    driver = Driver(make_settings(classes=(HIGH_WORTH, LOW_WORTH), tier=1, tiers=2, balancers=100))
     driver.list([endpoint(f"{zone}{i}", zone) for zone in "ab" for i in range(30)])
     for _ in range(100):
-        assert only_send(driver.request("cheap")).endpoint.startswith("a")
+        assert only_send(driver.request("low_worth")).endpoint.startswith("a")
         driver.end(api.Outcome.OK, after_ms=50)
 
 
-def test_servers_of_which_nothing_is_known_hold_two_calls_a_tier() -> None:
-    """Guards against zones that spill at ease, as a call that waits for the next tier fills them."""
+def test_the_initial_limit_admits_two_calls_per_server_and_tier() -> None:
+    """Otherwise calls that wait for the next tier fill a zone that has no load, and it spills over."""
     driver = Driver(make_settings(tiers=2, zones=2, balancers=2))
     driver.list(TWO_ZONES)
-    held = hold(driver, 14)
-    assert sum(n for name, n in held.items() if name.startswith("a")) == 14
+    in_flight = make_unanswered_requests(driver, 14)
+    assert sum(n for name, n in in_flight.items() if name.startswith("a")) == 14
 
 
-def test_full_servers_deeper_down_spill_to_other_zones() -> None:
-    """Guards against a zone with few servers for its callers: it chokes while the other zones idle."""
+def test_calls_below_the_first_tier_spill_over_when_the_servers_are_full() -> None:
+    """A zone with few servers for its callers must not be overloaded while the other zones are idle."""
     driver = Driver(make_settings(tier=1, tiers=2))
     driver.list([endpoint("a0"), *TWO_ZONES[4:]])
-    held = hold(driver, 16)
-    assert held["a0"] <= 6
-    assert sum(held.values()) == 16
+    in_flight = make_unanswered_requests(driver, 16)
+    assert in_flight["a0"] <= 6
+    assert sum(in_flight.values()) == 16
 
 
-def test_late_answers_lower_what_is_taken_and_good_ones_raise_it_again() -> None:
-    """Guards against jams: servers that answer late must be given less, at the first tier, and early."""
+def test_late_responses_lower_the_limits_and_fast_ones_raise_them_again() -> None:
+    """Servers that respond late must get fewer calls, early and at the first tier, or they get congested."""
     driver = Driver()
     driver.list(TWO_ZONES)
-    crowd(driver, 900.0, 4000)
-    low = sum(z.limit for z in driver.balancer.host_set.zones.values())
-    crowd(driver, 50.0, 8000)
-    high = sum(z.limit for z in driver.balancer.host_set.zones.values())
-    assert high > 3 * low
+    run_steady_load(driver, 900.0, 4000)
+    limits_after_late_responses = sum(z.limit for z in driver.balancer.host_set.zones.values())
+    run_steady_load(driver, 50.0, 8000)
+    limits_after_fast_responses = sum(z.limit for z in driver.balancer.host_set.zones.values())
+    assert limits_after_fast_responses > 3 * limits_after_late_responses
 
 
-def test_answer_times_that_scatter_within_their_aim_are_no_crowd() -> None:
-    """Guards against shedding at ease: the best times ever seen are no measure of the ordinary ones."""
+def test_latencies_that_vary_within_the_aim_cause_no_refusals() -> None:
+    """Latency is compared with the aim. Next to the lowest latency ever seen, ordinary latency looks late."""
     driver = Driver()
     driver.list(TWO_ZONES)
-    scatter = random.Random(5)
-    out: list[tuple[float, float, str]] = []
+    rng = random.Random(5)
+    in_flight: list[tuple[float, float, str]] = []
     refused = 0
     for _ in range(6000):
         driver.now += 12.0
-        while out and out[0][0] <= driver.now:
-            _, elapsed, request = heapq.heappop(out)
-            driver.feed(api.AttemptEnded(request, 0, api.Outcome.OK, elapsed, True))
+        while in_flight and in_flight[0][0] <= driver.now:
+            _, latency_ms, request = heapq.heappop(in_flight)
+            driver.feed(api.AttemptEnded(request, 0, api.Outcome.OK, latency_ms, True))
         if isinstance(driver.request()[0], api.Send):
-            elapsed = 300.0 * scatter.lognormvariate(-0.18, 0.6)  # of an aim of 1000 ms
-            heapq.heappush(out, (driver.now + elapsed, elapsed, f"r{driver.count}"))
+            latency_ms = 300.0 * rng.lognormvariate(-0.18, 0.6)  # The aim is 1000 ms.
+            heapq.heappush(in_flight, (driver.now + latency_ms, latency_ms, f"r{driver.count}"))
         else:
             refused += 1
     assert refused < 150
 
 
-def test_a_sliver_of_traffic_is_not_turned_away_by_chance() -> None:
-    """Guards against limits of less than a call, which refuse whenever one call is out."""
+def test_light_traffic_is_not_refused_where_the_limit_is_less_than_one_call() -> None:
+    """A limit of less than one call must not reject every call while another one is in flight."""
     driver = Driver(make_settings(balancers=300))
     driver.list(TWO_ZONES)
     assert isinstance(driver.request()[0], api.Send)
     assert driver.balancer.host_set.zones["a"].limit * driver.balancer.host_set.zones["a"].capacity < 0.1
-    taken = 0
+    accepted = 0
     for _ in range(100):
         driver.now += 100
         sent = [a for a in driver.request() if isinstance(a, api.Send)]
-        taken += len(sent)
+        accepted += len(sent)
         if sent:
             driver.end(api.Outcome.OK, after_ms=50)
-    assert taken > 90
+    assert accepted > 90
 
 
-def test_in_a_crowd_a_sliver_of_room_goes_by_worth() -> None:
-    """Guards against cheap requests that fill the one call a crowded balancer may hold (incident i6df7a6)."""
-    dear = api.RequestClass("dear", 1000, 2000, worth=10.0)
-    cheap = api.RequestClass("cheap", 1000, 2000, worth=1.0)
-    driver = Driver(make_settings(classes=(dear, cheap), balancers=1000))
+def test_a_small_limit_under_overload_prefers_requests_of_high_worth() -> None:
+    """Requests of low worth must not take the only call that the limit admits (incident i6df7a6)."""
+    high_worth = api.RequestClass("high_worth", 1000, 2000, worth=10.0)
+    low_worth = api.RequestClass("low_worth", 1000, 2000, worth=1.0)
+    driver = Driver(make_settings(classes=(high_worth, low_worth), balancers=1000))
     driver.list(TWO_ZONES)
-    taken = {"dear": 0, "cheap": 0}
+    accepted = {"high_worth": 0, "low_worth": 0}
     for i in range(400):
         driver.now += 1
-        name = "cheap" if i % 4 else "dear"
+        name = "low_worth" if i % 4 else "high_worth"
         if any(isinstance(a, api.Send) for a in driver.request(name)):
-            taken[name] += 1
-            driver.end(api.Outcome.OK, after_ms=3000)  # every answer is late: the limit stays low
-    assert taken["dear"] > 80
-    assert taken["cheap"] < 0.45 * 300
+            accepted[name] += 1
+            driver.end(api.Outcome.OK, after_ms=3000)  # Every response is late, so the limit stays low.
+    assert accepted["high_worth"] > 80
+    assert accepted["low_worth"] < 0.45 * 300
 
 
-def test_a_limit_grows_only_where_it_is_used_and_does_not_run_away() -> None:
-    """Answers tell of a limit a round trip late: what is let in by then must not jam the servers."""
+def test_a_limit_grows_only_while_it_is_in_use_and_more_slowly_than_it_falls() -> None:
+    """Responses show one round trip late that a limit is too high, and the calls admitted by then do harm."""
     driver = Driver()
     driver.list(TWO_ZONES[:4])
     zone = driver.balancer.host_set.zones["a"]
-    first = zone.limit
-    for _ in range(200):  # one call at a time uses little of the limit
+    initial_limit = zone.limit
+    for _ in range(200):  # One call at a time uses little of the limit.
         driver.request()
         driver.end(api.Outcome.OK, after_ms=50.0)
-    assert zone.limit == first
+    assert zone.limit == initial_limit
     zone.limit = zone.initial_limit * 2.0
-    zone.in_flight = 100  # it is all in use, for a second of answers at half of what counts as ease
+    # The whole limit is in use, and for one second responses take half of the target latency.
+    zone.in_flight = 100
     for _ in range(20):
         driver.now += 50.0
         zone.adapt_limit(0.5, driver.now)
     assert zone.initial_limit * 2.0 < zone.limit < zone.initial_limit * 3.0
-    for _ in range(20):  # and lowering is the faster way
+    for _ in range(20):  # In the next second, responses take twice the target latency.
         driver.now += 50.0
         zone.adapt_limit(2.0, driver.now)
     assert zone.limit < zone.initial_limit
@@ -206,14 +207,14 @@
 
 @pytest.mark.parametrize("outcome", [
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.NOT_SENT])
-def test_what_reached_no_server_raises_no_limit(outcome: api.Outcome) -> None:
+def test_attempts_that_reached_no_server_do_not_raise_the_limit(outcome: api.Outcome) -> None:
     driver = Driver(make_settings(limits=api.Limits(max_attempts=1)))
     driver.list(TWO_ZONES[:4])
     zone = driver.balancer.host_set.zones["a"]
     zone.latency_ratio, before = 0.0, zone.limit
     for _ in range(3):
         driver.request()
-        zone.in_flight += 50  # in use
+        zone.in_flight += 50  # The limit is in use.
         driver.end(outcome, after_ms=1.0)
         zone.in_flight -= 50
     assert zone.limit == before
@@ -222,8 +223,8 @@
 
 
 @pytest.mark.parametrize("outcome", [api.Outcome.ERROR, api.Outcome.RESET, api.Outcome.TIMEOUT])
-def test_what_fails_early_teaches_no_ease_and_what_fails_late_teaches_lateness(outcome: api.Outcome) -> None:
-    """Guards against a gate that opens just when calls begin to fail."""
+def test_only_failures_after_the_target_latency_change_the_latency_ratio(outcome: api.Outcome) -> None:
+    """If early failures counted as fast responses, the limit would rise just when calls begin to fail."""
     driver = Driver(make_settings(limits=api.Limits(max_attempts=1)))
     driver.list(TWO_ZONES[:4])
     zone = driver.balancer.host_set.zones["a"]
--- a/tests/test_quota.py
+++ b/tests/test_quota.py
@@ -1,4 +1,4 @@
-"""The quotas of tenants."""
+"""The quotas of tenants: which requests are shed first."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from tests.helpers import TWO_ZONES, Driver, make_settings
 
 
-def test_tenants_over_their_share_are_shed_first() -> None:
-    tenants = (api.Tenant("modest", 1000.0), api.Tenant("greedy", 1.0))
+def test_requests_of_tenants_over_their_quota_are_shed_first() -> None:
+    tenants = (api.Tenant("under_quota", 1000.0), api.Tenant("over_quota", 1.0))
     driver = Driver(make_settings(tenants=tenants, over_share_worth=0.1))
     driver.list(TWO_ZONES)
-    taken = {"modest": 0, "greedy": 0}
+    accepted = {"under_quota": 0, "over_quota": 0}
     for i in range(40):
-        tenant = "greedy" if i % 2 else "modest"
-        taken[tenant] += isinstance(driver.request(tenant=tenant)[0], api.Send)
-    assert taken["modest"] > 1.5 * taken["greedy"] > 0
+        tenant = "over_quota" if i % 2 else "under_quota"
+        accepted[tenant] += isinstance(driver.request(tenant=tenant)[0], api.Send)
+    assert accepted["under_quota"] > 1.5 * accepted["over_quota"] > 0
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -1,4 +1,4 @@
-"""What many proxies together send to cold backends, over real sockets, on a clock that the test sets."""
+"""Slow start: what many proxies together send to cold backends, over real sockets and on a manual clock."""
 
 from __future__ import annotations
 
@@ -12,13 +12,17 @@
 from honeywharf.policy import list_freshness
 from tests.loopback import Backend, Client, Discovery, World, make_config, run, until
 
-PROXIES, BACKENDS, PER_S = 24, 10, 24.0  # calls a second, over all proxies
-WARM_S, COLD_S = 40.0, 10.0
-COLD_SHARE, WARM_AFTER_MS = 0.12, 24000.0
+PROXIES = 24
+BACKENDS = 10
+REQUESTS_PER_S = 24.0  # Over all proxies.
+WARM_TRAFFIC_S = 40.0
+COLD_TRAFFIC_S = 10.0
+SLOW_START_SHARE = 0.12
+WARM_UP_MS = 24000.0
 
 
-class SetClock(Clock):
-    """Goes on only when the test says so."""
+class ManualClock(Clock):
+    """A clock that advances only when the test changes `ms`."""
 
     def now(self) -> float:
         return self.ms
@@ -27,26 +31,27 @@
         self.ms = 1.8e12
 
 
-def on_clock(w: World, clock: Clock) -> None:
-    proxy = w.proxy
+def use_clock(world: World, clock: Clock) -> None:
+    proxy = world.proxy
     proxy.clock = proxy.driver.clock = proxy.pool.clock = proxy.frontend.clock = proxy.watch.clock = clock
     proxy.watch.expiry.clock = clock
 
 
-@pytest.mark.parametrize("restarted", [0, PROXIES * 7 // 10])
-def test_cold_backends_get_their_part_of_what_warm_ones_answered_from_all_proxies_together(
-    restarted: int, monkeypatch: pytest.MonkeyPatch,
+@pytest.mark.parametrize("restarted_proxies", [0, PROXIES * 7 // 10])
+def test_all_proxies_together_send_cold_backends_their_fraction_of_the_warm_response_rate(
+    restarted_proxies: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All backends of a zone start anew and every list comes at once; some proxies have just started too.
+    """All backends of a zone restart and all proxies learn of it at once; some proxies have restarted too.
 
-    Beyond that part only 2 sqrt(N) + 2 calls are chance.
+    Random arrival explains at most 2 sqrt(N) + 2 requests beyond the expected N.
     """
     monkeypatch.setattr(list_freshness, "MAX_AGE_MS", 1e9)
-    for name in ("SILENT_MS", "IDLE_MS", "CROWDED_IDLE_MS"):  # callers stay, however fast the clock goes
+    # The clock advances fast, but the clients' connections must stay open.
+    for name in ("SILENT_MS", "IDLE_MS", "CROWDED_IDLE_MS"):
         monkeypatch.setattr(downstream, name, 1e9)
 
     async def main() -> None:
-        rng, clock = random.Random(3), SetClock()
+        rng, clock = random.Random(3), ManualClock()
         backend = await Backend().start()
 
         def rows(started_ms: float) -> list[dict[str, object]]:
@@ -55,43 +60,45 @@
         worlds: list[World] = []
         clients: list[Client] = []
 
-        async def join() -> None:
+        async def add_proxy() -> None:
             discovery = await Discovery().start()
             worlds.append(World(make_config(
                 discovery.port, rows(0.0), nInstances=PROXIES, tier=1, tiers=["t", "u"],
-                contract={"coldShare": COLD_SHARE, "warmAfterMs": WARM_AFTER_MS},
+                contract={"coldShare": SLOW_START_SHARE, "warmAfterMs": WARM_UP_MS},
                 report={"fields": [], "how": "silent"}), discovery))
-            on_clock(worlds[-1], clock)
+            use_clock(worlds[-1], clock)
             discovery.tell(1, *rows(0.0), reset=True)
             await worlds[-1].start()
             await until(lambda: worlds[-1].proxy.watch.first_poll_done)
             clients.append(await Client.to(worlds[-1].port))
 
-        async def play(seconds: float, first: int) -> int:
-            sent, end = len(backend.requests), clock.ms + seconds * 1000.0
-            while clock.ms < end:
-                clock.ms += rng.expovariate(PER_S) * 1000.0
-                client = clients[first + rng.randrange(PROXIES)]
+        async def run_traffic(duration_s: float, first_client: int) -> int:
+            """Send requests to `PROXIES` proxies, and return how many reached a backend."""
+            request_count, end_ms = len(backend.requests), clock.ms + duration_s * 1000.0
+            while clock.ms < end_ms:
+                clock.ms += rng.expovariate(REQUESTS_PER_S) * 1000.0
+                client = clients[first_client + rng.randrange(PROXIES)]
                 client.send(left="60000m")
                 await client.status()
-            return len(backend.requests) - sent
+            return len(backend.requests) - request_count
 
         for _ in range(PROXIES):
-            await join()
-        await play(WARM_S, 0)
-        for _ in range(restarted):
-            await join()
-        for w in worlds:
-            w.discovery.tell(2, *rows(clock.ms), reset=True)
-        await until(lambda: all(w.proxy.directory.generation == 2 for w in worlds))
-        sent = await play(COLD_S, restarted)
-        part = PER_S * COLD_S * COLD_SHARE  # the first call to each waits for what it can do at its start
-        assert sent <= part + 2.0 * math.sqrt(part) + 2.0
-        assert sent > 0 if restarted else sent > part / 3.0
-        for w in worlds:
-            assert w.running is not None
-            w.running.cancel()
-            w.proxy.frontend.stop_listening()
-            await w.discovery.stop()
+            await add_proxy()
+        await run_traffic(WARM_TRAFFIC_S, 0)
+        for _ in range(restarted_proxies):
+            await add_proxy()
+        for world in worlds:
+            world.discovery.tell(2, *rows(clock.ms), reset=True)
+        await until(lambda: all(world.proxy.directory.generation == 2 for world in worlds))
+        request_count = await run_traffic(COLD_TRAFFIC_S, restarted_proxies)
+        # Each proxy schedules its first call to a backend by the capacity that the backend has at its start.
+        expected = REQUESTS_PER_S * COLD_TRAFFIC_S * SLOW_START_SHARE
+        assert request_count <= expected + 2.0 * math.sqrt(expected) + 2.0
+        assert request_count > 0 if restarted_proxies else request_count > expected / 3.0
+        for world in worlds:
+            assert world.running is not None
+            world.running.cancel()
+            world.proxy.frontend.stop_listening()
+            await world.discovery.stop()
         await backend.stop()
     run(main())
