--- a/honeywharf/policy/concurrency.py
+++ b/honeywharf/policy/concurrency.py
@@ -15,7 +15,7 @@
 #: Calls admitted beyond the limit, in proportion to the request's worth. Without them, a limit of about one
 #: call rejects a third of the calls by chance alone.
 EXTRA_CALLS = 1.0
-#: Responses that take twice the target lower a limit by a factor of e in this time, which is one round trip.
+#: Responses that take twice the target lower a limit by a factor of e in this time, about one round trip.
 ADAPTATION_TIME_MS = 500.0
 #: A limit grows this many times more slowly than it falls. Otherwise it overshoots: responses show only
 #: after a delay that a limit is too high, and the calls admitted by then congest the servers for a long time.
@@ -28,7 +28,7 @@
 LATENCY_RATIO_SMOOTHING = 0.3
 #: One response adapts the limit as if at most this much time had passed since the previous one.
 MAX_RESPONSE_SPAN_MS = 250.0
-#: A request may use this power of its worth, relative to the mean worth of requests, as its share of a limit.
+#: The share of a limit that is open to a request is its worth over the mean worth, raised to this power.
 WORTH_EXPONENT = 0.4
 
 
@@ -46,12 +46,14 @@
     latency_ratio: float = 1.0  # The running mean of latency relative to its target.
     capacity: float = 0.0  # The sum over the usable servers of the zone.
     ready_servers: int = 0
-    ejection_margin: int = 0  # The number of usable servers, less two for each ejected one.
+    # The number of usable servers, less two for each ejected one. Each ejection lowers it by 3.
+    ejection_margin: int = 0
 
     def admits(self, limit_share: float, random_fraction: float, server: Server | None = None) -> bool:
         """Whether one more call fits into the share of the limit that is open to it.
 
-        `random_fraction`, from [0, 1), rounds a fractional limit up or down at random.
+        `random_fraction`, from [0, 1), is added to the active calls, so that a fractional limit is rounded up
+        or down at random.
 
         If a server is given, the call must fit into that server's part of the limit. Otherwise calls pile up
         on one server, or keep a small server as busy as a large one, while other servers have capacity left.
--- a/honeywharf/policy/host_set.py
+++ b/honeywharf/policy/host_set.py
@@ -11,20 +11,20 @@
 
 #: Interval between updates of slowly changing figures. It is short compared with the failures to react to.
 REFRESH_INTERVAL_MS = 250.0
-#: Up to this relative latency, a server gets its even share of the traffic. A slower one gets a smaller
-#: fraction of it, by the square of its relative latency.
+#: Up to this relative latency, a server gets its even share of the traffic. A slower one gets a fraction of
+#: it that falls with the square of its relative latency.
 FULL_TRAFFIC_LATENCY = 1.2
 #: A slow server gets at least this fraction of its even share.
 MIN_LATENCY_FRACTION = 0.2
 #: The initial limit per server allows this many calls for its own tier and again for each tier below: one in
 #: progress and one queued behind it. With only one, a core idles whenever its call waits for something else.
 INITIAL_CALLS_PER_TIER = 2.0
-#: A cold server gets a third of the load that would overload it, because calls arrive at random and differ in
-#: their work.
+#: A cold server gets the load that would overload it divided by this factor, because calls arrive at random
+#: and differ in their work.
 SLOW_START_SAFETY_FACTOR = 3.0
-#: The response rate is averaged over this time, and over at least this many responses. With so few, chance
-#: makes the peak rate a fifth too high.
+#: The response rate is averaged over this time, or over a longer one where there are few responses.
 RATE_WINDOW_MS = 5000.0
+#: The average covers at least this many responses. Even then, chance makes the peak rate a fifth too high.
 RATE_WINDOW_RESPONSES = 20.0
 #: The peak rate decays over this time, so that it stays known while no server responds.
 PEAK_DECAY_MS = 60000.0
@@ -41,7 +41,7 @@
     def update(self, total_traffic_fraction: float, now_ms: float) -> None:
         """Update the rate with the responses since the last update.
 
-        `total_traffic_fraction` is the sum over the servers that gave these responses.
+        `total_traffic_fraction` is the sum of the traffic fractions of the servers that gave them.
         """
         elapsed_ms = max(1.0, now_ms - self.updated_ms)
         window_ms = max(RATE_WINDOW_MS, RATE_WINDOW_RESPONSES / (self.rate * total_traffic_fraction))
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -12,7 +12,7 @@
 
 
 def test_the_wait_for_a_connection_does_not_count_as_latency() -> None:
-    """Slow connects must not lower a zone's limit or a server's traffic, nor distort the expected latency."""
+    """The time to connect must not lower limits or a server's traffic, nor distort the expected latency."""
     driver = Driver()
     driver.list(TWO_ZONES[:4])
     before = driver.balancer.host_set.zones["a"].limit
@@ -79,7 +79,7 @@
 
 
 def test_idle_servers_take_calls_where_many_balancers_share_them() -> None:
-    """The class of least worth must not be refused while all servers are idle (herd+mass at npc-no-slow).
+    """The class of least worth must not be refused while all servers are idle (herd+mass, npc-no-slow).
 
     The zone's limit admits several calls, but the part of each of its many servers is less than one call.
     """
@@ -130,7 +130,7 @@
 
 
 def test_latencies_that_vary_within_the_aim_cause_no_refusals() -> None:
-    """Latency is compared with the aim. Next to the lowest latency ever seen, ordinary latency looks late."""
+    """Ordinary latency would look late if it were compared with the lowest latency instead of the aim."""
     driver = Driver()
     driver.list(TWO_ZONES)
     rng = random.Random(5)
@@ -183,7 +183,7 @@
 
 
 def test_a_limit_grows_only_while_it_is_in_use_and_more_slowly_than_it_falls() -> None:
-    """Responses show one round trip late that a limit is too high, and the calls admitted by then do harm."""
+    """Responses show too high a limit one round trip late, and calls admitted by then congest the servers."""
     driver = Driver()
     driver.list(TWO_ZONES[:4])
     zone = driver.balancer.host_set.zones["a"]
--- a/tests/test_host_set.py
+++ b/tests/test_host_set.py
@@ -55,7 +55,7 @@
 
 
 def test_a_cold_server_is_not_overloaded_when_it_is_the_only_server() -> None:
-    """A cold server must not get all the traffic of a fleet that is lost (incident i6df7a6)."""
+    """A cold server must not get all the traffic when the rest of the fleet is lost (incident i6df7a6)."""
     driver = Driver(make_settings(rules=api.Rules(cold_share=0.2, warm_after_ms=10000, ask_every_ms=10000)))
     driver.list([endpoint(f"a{i}") for i in range(10)])
     driver.fill(9000)
@@ -97,7 +97,7 @@
 
 
 def test_a_cold_server_is_not_overloaded_when_it_is_alone_in_its_zone() -> None:
-    """The first server that restarts in a lost zone must not get all its calls (incident i0f1c09)."""
+    """The first cold server of a lost zone must not get all calls of the zone (incident i0f1c09)."""
     driver = Driver()
     others = [endpoint(f"b{i}", "b") for i in range(20)]
     driver.list([endpoint("a0", started_ms=driver.now), *others])
@@ -107,7 +107,7 @@
 
 
 def test_ejected_servers_get_no_calls_when_the_usable_servers_are_full() -> None:
-    """Calls must not go to dead servers whenever the live ones are at their limit (incident i0f1c09)."""
+    """Calls must not go to dead servers, even when the live ones are at their limit (incident i0f1c09)."""
     driver = Driver()
     driver.list([endpoint("a0"), endpoint("a1"), endpoint("b0", "b")])
     servers = driver.balancer.host_set.servers
@@ -121,7 +121,7 @@
 
 
 def test_a_cold_server_alone_in_its_zone_is_not_overloaded_below_the_first_tier() -> None:
-    """The zone's limit rejects no calls below the first tier: the surplus goes to another zone instead."""
+    """Below the first tier, no limit rejects calls: the surplus goes to another zone, and none is refused."""
     driver = Driver(make_settings(tier=1, tiers=2, balancers=30))
     others = [endpoint(f"b{i}", "b") for i in range(20)]
     driver.list([endpoint("a0", started_ms=driver.now), *others])
