--- a/honeywharf/balancer.py
+++ b/honeywharf/balancer.py
@@ -15,7 +15,7 @@
 from collections import deque
 
 from honeywharf import interface as api
-from honeywharf.policy.concurrency import WORTH_POWER, Zone
+from honeywharf.policy.concurrency import WORTH_EXPONENT, ZoneLimiter
 from honeywharf.policy.host_set import HostSet
 from honeywharf.policy.outlier import OutlierDetector
 from honeywharf.policy.quota import TenantQuota
@@ -98,8 +98,8 @@
         """Describe each zone for the log, in a length that does not depend on the number of its servers."""
         # The number of usable servers follows from `spare`, which is 3 * usable - 2 * ready.
         return " ".join(
-            f"{name or '-'}[usable={(z.spare + 2 * z.ready) // 3}/{z.ready} calls={z.in_flight} "
-            f"limit={z.limit * z.capacity:.1f} lateness={z.lateness:.2f}]"
+            f"{name or '-'}[usable={(z.ejection_margin + 2 * z.ready_servers) // 3}/{z.ready_servers} "
+            f"calls={z.in_flight} limit={z.limit * z.capacity:.1f} lateness={z.latency_ratio:.2f}]"
             for name, z in sorted(self.host_set.zones.items()))
 
     def _on_timer(self, token: str) -> None:
@@ -146,8 +146,8 @@
             # That a server responds proves nothing, because draining servers accept calls too.
             return None
         own_zone, draw = self.host_set.zones.get(self.settings.zone), self.random.random()
-        for priority, level in enumerate(self.host_set.levels):
-            own_zone_full = own_zone is not None and not own_zone.has_room(request.limit_share, draw)
+        for priority, level in enumerate(self.host_set.priority_levels):
+            own_zone_full = own_zone is not None and not own_zone.admits(request.limit_share, draw)
             # Inner tiers send all the same: their refusal would only cause a retry in the tier before.
             if priority == 0 and own_zone_full and self.settings.tier == 0:
                 continue
@@ -167,16 +167,16 @@
         for _ in range(MAX_PICKS_PER_LEVEL if level else 0):
             server = level[int(self.random.random() * len(level))]
             if (server is last_server and len(level) > 1) or (
-                    server.warming_up and self.now_ms < server.next_call_ms):
+                    server.warming_up and self.now_ms < server.next_warm_up_call_ms):
                 continue
             zone = self.host_set.zones[server.endpoint.zone]
-            if priority > 0 and sheds_load and not zone.has_room(request.limit_share, draw):
+            if priority > 0 and sheds_load and not zone.admits(request.limit_share, draw):
                 continue
-            if (priority < 2 or sheds_load) and not zone.has_room(request.limit_share, draw, server):
+            if (priority < 2 or sheds_load) and not zone.admits(request.limit_share, draw, server):
                 continue
             if priority < 2 and not self._is_healthy_for(server, request):
                 continue
-            if server.share >= 1.0 or self.random.random() < server.share:
+            if server.traffic_fraction >= 1.0 or self.random.random() < server.traffic_fraction:
                 return server
         return None
 
@@ -186,9 +186,11 @@
         After an ejection it is half-open: it gets one trial call at a time, and no request that may run only
         once. A server that is ejected for one class gets no calls of that class.
         """
-        if server.consecutive_ejections and (server.calls or request.request_class.idempotency is api.Idempotency.ONCE):
+        if server.consecutive_ejections and (
+            server.active_calls or request.request_class.idempotency is api.Idempotency.ONCE
+        ):
             return False
-        ejected_until = server.class_ejected_until
+        ejected_until = server.class_ejected_until_ms
         return not ejected_until or ejected_until.get(request.request_class.name, 0.0) <= self.now_ms
 
     # Requests.
@@ -230,12 +232,12 @@
 
     def _set_admission(self, request: Request, tenant: str) -> None:
         """Set the worth of the request, and the part of a zone's concurrency limit that is open to it."""
-        request.limit_share = min(1.0, (request.worth / self.mean_worth) ** WORTH_POWER)
+        request.limit_share = min(1.0, (request.worth / self.mean_worth) ** WORTH_EXPONENT)
         quota = self.tenant_quotas.get(tenant)
         if quota is None and tenant in self.tenants:
             share_per_s = self.tenants[tenant].quota_per_s / self.settings.balancer_count
             quota = self.tenant_quotas[tenant] = TenantQuota(share_per_s / 1000.0, share_per_s, self.now_ms)
-        if quota is not None and not quota.take(self.now_ms):
+        if quota is not None and not quota.try_take(self.now_ms):
             request.worth *= self.settings.over_quota_worth_factor
             request.limit_share *= OVER_QUOTA_ADMISSION
         self.mean_worth += (request.worth - self.mean_worth) / 100.0
@@ -258,7 +260,7 @@
         send_within_ms = min(request.retry_safe_until_ms(), self.list_expires_at_ms) - self.now_ms
         attempt = Attempt(request.id, server, zone, self.now_ms, self.now_ms, server.ejections)
         request.attempts.append(attempt)
-        server.calls[attempt] = None
+        server.active_calls[attempt] = None
         zone.in_flight += 1
         if server.warming_up:
             self.host_set.schedule_warm_up_call(server, 0.5, 1.5, self.now_ms)
@@ -293,7 +295,7 @@
             return
         attempt.active, attempt.may_have_run = False, event.outcome not in api.NOT_EXECUTED_OUTCOMES
         attempt.written_ms = attempt.sent_ms + event.time_to_send_ms
-        attempt.server.calls.pop(attempt, None)
+        attempt.server.active_calls.pop(attempt, None)
         attempt.release()
         # The outcome is out of date if the server was ejected, or the call deemed hung, since it was sent.
         if attempt.ejections == attempt.server.ejections and not attempt.is_hung:
@@ -313,7 +315,7 @@
         if event.outcome is api.Outcome.OK and not attempt.is_hung:
             self._detect_hung_calls(attempt, request.request_class)
 
-    def _update_zone_limit(self, zone: Zone, request: Request, event: api.AttemptEnded) -> None:
+    def _update_zone_limit(self, zone: ZoneLimiter, request: Request, event: api.AttemptEnded) -> None:
         """Adapt the concurrency limit of the zone to how late the attempt ended."""
         request_class = request.request_class
         # Lateness is relative to the aim, because the shortest latencies seen are far below the usual ones. A
@@ -323,7 +325,7 @@
         # An early failure (a refused connection, an error, a short deadline) is no sign of spare capacity, so
         # only a success counts when it was early. Other outcomes count only when they were late.
         if event.outcome is api.Outcome.OK or (event.outcome not in UNREACHED_OUTCOMES and lateness > 1.0):
-            zone.learn(lateness, self.now_ms)
+            zone.adapt_limit(lateness, self.now_ms)
 
     def _retry(self, request: Request, outcome: api.Outcome) -> None:
         """Retry within the rules and the retry budget, or give up."""
@@ -351,7 +353,7 @@
                 or not latency.has_enough_samples(request_class.name)):
             return
         hung = []
-        for call in answered.server.calls:
+        for call in answered.server.active_calls:
             request = self.requests.get(call.request)
             if request is None or call.sent_ms >= answered.sent_ms:
                 break
@@ -359,7 +361,7 @@
                 hung.append((call, request))
         for call, request in hung:
             call.is_hung = True
-            del call.server.calls[call]
+            del call.server.active_calls[call]
             call.release()
             if call.ejections == call.server.ejections:
                 self.outliers.record_hung_call(call.server, self.now_ms)
--- a/honeywharf/codec.py
+++ b/honeywharf/codec.py
@@ -192,12 +192,15 @@
         warm_keys=_boolean(family, "warmKeys"),
         clients_mark_retries=_boolean(_object(fields, "clients"), "marksRetry"),
         over_quota_worth_factor=_number(fields, "overShareWorth", 1.0),
-        load_report_fields=tuple(REPORT_FIELD_BY_NAME.get(name, name) for name in _string_list(report, "fields")),
+        load_report_fields=tuple(
+            REPORT_FIELD_BY_NAME.get(name, name) for name in _string_list(report, "fields")
+        ),
         load_reporting=_enum_value(REPORTS_BY_NAME, report, "how", api.LoadReporting.NONE),
         classes=tuple(_decode_request_class(profile) for profile in _object_list(fields, "profiles")),
         tenants=tuple(
             api.Tenant(
-                _string(party, "name"), _number(party, "quotaPerS", 0.0), _number(party, "portion", 0.0))
+                _string(party, "name"), _number(party, "quotaPerS", 0.0), _number(party, "portion", 0.0)
+            )
             for party in _object_list(fields, "parties", ())
         ),
         limits=_decode_limits(_object(fields, "bounds")),
--- a/honeywharf/policy/outlier.py
+++ b/honeywharf/policy/outlier.py
@@ -89,7 +89,7 @@
             self._record_failure(server, request.request_class.name, outcome, now_ms)
             # Without a pause, an overloaded server would be sent a new call whenever it finishes one, and
             # would stay full.
-            if server.ejected_until <= now_ms and self.host_set.can_spare(server):
+            if server.ejected_until_ms <= now_ms and self.host_set.can_eject(server):
                 self.eject(server, OVERLOAD_EJECTION_MS, now_ms)
             return
         self._update_failure_rate(server, failed=outcome is not api.Outcome.OK)
@@ -110,10 +110,10 @@
         Afterwards the balancer sends it trial calls, one at a time, until one is answered without being slow.
         """
         backoff = 2 ** min(server.consecutive_ejections, MAX_EJECTION_DOUBLINGS)
-        server.ejected_until = now_ms + base_ms * backoff * self.random.uniform(*EJECTION_JITTER)
+        server.ejected_until_ms = now_ms + base_ms * backoff * self.random.uniform(*EJECTION_JITTER)
         server.ejections += 1
         # Calls in flight at an ejected server must not use up the concurrency limit of its zone.
-        for call in server.calls:
+        for call in server.active_calls:
             call.release()
         server.anomaly_score = EJECTION_SCORE / 2
         server.consecutive_ejections += 1
@@ -131,9 +131,9 @@
         server.relative_latency += (relative - server.relative_latency) / RELATIVE_LATENCY_WINDOW_ANSWERS
         self.latency.add(class_name, latency_ms)
         server.consecutive_failures = 0
-        server.class_ejected_until.pop(class_name, None)
+        server.class_ejected_until_ms.pop(class_name, None)
         server.class_errors.pop(class_name, None)
-        self.host_set.answer_rate.answers += 1
+        self.host_set.response_rate.responses += 1
         score_step = relative - SLOW_RELATIVE_LATENCY
         if score_step < 0:
             server.consecutive_ejections = 0
@@ -146,12 +146,12 @@
             errors = server.class_errors[class_name] = server.class_errors.get(class_name, 0) + 1
         timed_out_again = outcome is api.Outcome.TIMEOUT and server.consecutive_failures > 0
         if timed_out_again or (errors >= CONSECUTIVE_CLASS_ERRORS_TO_EJECT and (
-                class_name in server.class_ejected_until or self._stands_out(server))):
+                class_name in server.class_ejected_until_ms or self._stands_out(server))):
             # A server may fail only one class, with timeouts or errors. If it were ejected for all classes, a
             # successful trial call of another class would readmit it for all of them. A single timeout
             # doesn't eject, because it may come from a dead connection.
             duration_ms = CLASS_EJECTION_MS * self.random.uniform(*EJECTION_JITTER)
-            server.class_ejected_until[class_name] = now_ms + duration_ms
+            server.class_ejected_until_ms[class_name] = now_ms + duration_ms
         # A refused connection means a dead process; one that timed out while connecting may be chance.
         server.consecutive_failures += 2 if outcome is api.Outcome.CONNECT_FAILED else 1
 
@@ -164,8 +164,8 @@
             or server.anomaly_score >= EJECTION_SCORE)
         # Errors of a tier behind all servers of a zone must not empty the zone. A server whose connections
         # fail is ejected in any case, because its process is dead.
-        if server.ejected_until <= now_ms and is_outlier and (
-                connect_failed or self.host_set.can_spare(server) or self._stands_out(server)):
+        if server.ejected_until_ms <= now_ms and is_outlier and (
+                connect_failed or self.host_set.can_eject(server) or self._stands_out(server)):
             self.eject(server, BASE_EJECTION_MS, now_ms)
 
     def _had_short_deadline(self, request: Request, event: api.AttemptEnded) -> bool:
@@ -192,4 +192,4 @@
             if s is not server and s.failure_rate is not None]
         mean_rate = sum(other_rates) / len(other_rates) if other_rates else 1.0
         is_failing = (server.failure_rate or 0.0) > OUTLIER_FAILURE_RATE_MARGIN + 2.0 * mean_rate
-        return is_failing and self.host_set.keeps_half_without_one()
+        return is_failing and self.host_set.keeps_half_after_one_ejection()
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -14,7 +14,7 @@
 from honeywharf import interface as api
 
 if TYPE_CHECKING:
-    from honeywharf.policy.concurrency import Zone
+    from honeywharf.policy.concurrency import ZoneLimiter
     from honeywharf.policy.server import Server
 
 
@@ -24,7 +24,7 @@
 
     request: str  # the request's id
     server: Server
-    zone: Zone
+    zone: ZoneLimiter
     sent_ms: float  # when the balancer decided to send it
     written_ms: float  # when it was written to the socket; equals `sent_ms` until the attempt has ended
     ejections: int  # the server's count of ejections at `sent_ms`
@@ -72,11 +72,15 @@
         first, request_class = self.first_possibly_run_attempt(), self.request_class
         if first is None or request_class.idempotency is api.Idempotency.REPEATABLE:
             return True
-        if request_class.idempotency is api.Idempotency.ONCE or now_ms >= first.written_ms + request_class.dedupe_window_ms:
+        if (
+            request_class.idempotency is api.Idempotency.ONCE
+            or now_ms >= first.written_ms + request_class.dedupe_window_ms
+        ):
             return False
         first_endpoint = first.server.endpoint
-        return (request_class.dedupe_scope is api.DedupeScope.ALL or first_endpoint.zone == endpoint.zone) and (
-            request_class.dedupe_scope is not api.DedupeScope.CELL or first_endpoint.cell == endpoint.cell)
+        return (
+            request_class.dedupe_scope is api.DedupeScope.ALL or first_endpoint.zone == endpoint.zone
+        ) and (request_class.dedupe_scope is not api.DedupeScope.CELL or first_endpoint.cell == endpoint.cell)
 
     def retry_safe_until_ms(self) -> float:
         """Return the time until which a retry may be written without the risk of taking effect twice."""
@@ -88,5 +92,11 @@
     def may_refuse(self) -> bool:
         """Return whether the request may be refused: a refusal tells the client that a retry is harmless."""
         request_class = self.request_class
-        return request_class.idempotency is api.Idempotency.REPEATABLE or self.first_possibly_run_attempt() is None or (
-            request_class.idempotency is api.Idempotency.KEYED and request_class.dedupe_scope is api.DedupeScope.ALL)
+        return (
+            request_class.idempotency is api.Idempotency.REPEATABLE
+            or self.first_possibly_run_attempt() is None
+            or (
+                request_class.idempotency is api.Idempotency.KEYED
+                and request_class.dedupe_scope is api.DedupeScope.ALL
+            )
+        )
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -205,8 +205,13 @@
         for key, value in SETTINGS.items()
     }
     return config.Config(
-        name="n", listen=("127.0.0.1", 0), discovery=("127.0.0.1", discovery_port), seed=7, sockets=sockets,
-        known={"generation": 1, "reset": True, "instances": entries}, settings=codec.decode_settings(settings),
+        name="n",
+        listen=("127.0.0.1", 0),
+        discovery=("127.0.0.1", discovery_port),
+        seed=7,
+        sockets=sockets,
+        known={"generation": 1, "reset": True, "instances": entries},
+        settings=codec.decode_settings(settings),
         report_fields=tuple(settings["report"]["fields"]),
     )
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -60,13 +60,17 @@
     harness.run_requests(20)
     harness.start_request()
     harness.feed(api.ListExpiryChanged(harness.now_ms))
-    assert isinstance(harness.end_attempt(api.Outcome.REJECTED)[-1], api.Refuse)  # the request is not retried either
+    assert isinstance(
+        harness.end_attempt(api.Outcome.REJECTED)[-1], api.Refuse
+    )  # the request is not retried either
     for _ in range(20):
         harness.now_ms += 1000.0
         expect_single_refusal(harness.start_request())
     harness.update_endpoints([], api.ListKind.FAILED)
     expect_single_refusal(harness.start_request())
-    harness.update_endpoints([], api.ListKind.CHANGES)  # discovery reports no change, so the list is current again
+    harness.update_endpoints(
+        [], api.ListKind.CHANGES
+    )  # discovery reports no change, so the list is current again
     assert len(harness.run_requests(50)) > 1
 
 
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -60,7 +60,8 @@
                 assert await client.read_status() == 200
             assert await other.read_status() == 502
             assert len([m for m in backend.requests if m[2] == b"hangs"]) == 1
-            assert [e.outcome for e in harness.ended_attempts() if e.outcome is not Outcome.OK] == [Outcome.TIMEOUT
+            assert [e.outcome for e in harness.ended_attempts() if e.outcome is not Outcome.OK] == [
+                Outcome.TIMEOUT
             ]
         await backend.stop()
     run_with_timeout(main())
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -42,7 +42,9 @@
     return [a.request for a in actions if isinstance(a, api.Send)]
 
 
-def test_requests_of_a_key_run_one_at_a_time_in_order_over_all_ordered_classes(harness: BalancerHarness) -> None:
+def test_requests_of_a_key_run_one_at_a_time_in_order_over_all_ordered_classes(
+    harness: BalancerHarness,
+) -> None:
     assert sent_requests(harness.start_request("borrow", key="k")) == ["r1"]
     assert sent_requests(harness.start_request("renew", key="k")) == []
     assert sent_requests(harness.start_request("borrow", key="k")) == []
@@ -50,7 +52,9 @@
     assert sent_requests(harness.end_attempt(Outcome.OK, request="r2")) == ["r3"]
 
 
-def test_other_keys_requests_without_a_key_and_unordered_classes_do_not_wait(harness: BalancerHarness) -> None:
+def test_other_keys_requests_without_a_key_and_unordered_classes_do_not_wait(
+    harness: BalancerHarness,
+) -> None:
     harness.start_request("borrow", key="k")
     assert sent_requests(harness.start_request("borrow", key="j")) == ["r2"]
     assert sent_requests(harness.start_request("borrow")) == ["r3"]
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -86,7 +86,9 @@
     harness.balancer.outliers.eject(servers["b0"], 60000.0, harness.balancer.now_ms)
     for _ in range(60):
         fails = expect_single_send(harness.start_request()).endpoint == "a0"
-        harness.end_attempt(api.Outcome.ERROR if fails else api.Outcome.OK, after_ms=1.0, request_finished=True)
+        harness.end_attempt(
+            api.Outcome.ERROR if fails else api.Outcome.OK, after_ms=1.0, request_finished=True
+        )
     assert servers["a0"].ejections == 1
     assert servers["a1"].ejections == 0
 
@@ -105,7 +107,9 @@
         for action in harness.start_request():
             if isinstance(action, api.Send):
                 sent.add(action.endpoint)
-                harness.end_attempt(api.Outcome.OK, after_ms=100.0 if action.endpoint in slow_servers else 10.0)
+                harness.end_attempt(
+                    api.Outcome.OK, after_ms=100.0 if action.endpoint in slow_servers else 10.0
+                )
     return sent
 
 
@@ -125,7 +129,9 @@
     all_servers = {f"a{i}" for i in range(6)}
     for _ in range(50):
         answer_calls(harness, 5, all_servers)
-        assert sum(s.ejected_until <= harness.now_ms for s in harness.balancer.host_set.servers.values()) >= 4
+        assert (
+            sum(s.ejected_until_ms <= harness.now_ms for s in harness.balancer.host_set.servers.values()) >= 4
+        )
 
 
 def test_a_server_that_times_out_for_one_class_is_ejected_for_that_class_alone() -> None:
@@ -162,7 +168,9 @@
         at_a0 = expect_single_send(harness.start_request(class_name)).endpoint == "a0"
         sent[class_name] += at_a0
         fails = at_a0 and class_name == "write"
-        harness.end_attempt(api.Outcome.ERROR if fails else api.Outcome.OK, after_ms=10.0, request_finished=True)
+        harness.end_attempt(
+            api.Outcome.ERROR if fails else api.Outcome.OK, after_ms=10.0, request_finished=True
+        )
     assert sent["write"] <= 8
     assert sent["read"] > 30
 
--- a/tests/test_retry_safety.py
+++ b/tests/test_retry_safety.py
@@ -71,7 +71,9 @@
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint("a0"), make_endpoint("a1")])
     assert expect_single_send(harness.start_request("keyed")).send_within_ms == math.inf
-    repeat = expect_single_send(harness.end_attempt(Outcome.RESET, after_ms=after_ms, time_to_send_ms=time_to_send_ms))
+    repeat = expect_single_send(
+        harness.end_attempt(Outcome.RESET, after_ms=after_ms, time_to_send_ms=time_to_send_ms)
+    )
     assert repeat.send_within_ms == expected_ms
 
 
@@ -184,7 +186,10 @@
             attempt["live"] = False
             attempt["ran"] = event.outcome not in NOT_EXECUTED
             entry = self.requests[event.request]
-            if event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED) and entry["cls"].ordered_by_key:
+            if (
+                event.outcome in (Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED)
+                and entry["cls"].ordered_by_key
+            ):
                 self.cooldown_ends_ms[entry["key"]] = now + self.key_cooldown_ms
             if event.request_finished:
                 self.finished.add(event.request)
@@ -332,14 +337,21 @@
     write = api.RequestClass("write", 1000, 2000, api.Idempotency.ONCE, ordered_by_key=ordered)
     limits = api.Limits(max_attempts=3, cancel=True, concurrent_attempts=hedging)
     balancer = run_simulation(
-        Balancer, seed, steps, tier=tier, tier_count=2, classes=(REPEATABLE_CLASS, write, keyed), limits=limits,
+        Balancer,
+        seed,
+        steps,
+        tier=tier,
+        tier_count=2,
+        classes=(REPEATABLE_CLASS, write, keyed),
+        limits=limits,
         rules=api.Rules(
-            slow_start_share=0.2, warm_up_ms=10000, poll_interval_ms=10000, key_cooldown_ms=150.0),
+            slow_start_share=0.2, warm_up_ms=10000, poll_interval_ms=10000, key_cooldown_ms=150.0
+        ),
     )
     assert not balancer.requests
     assert not balancer.key_queues
     assert not balancer.queued_deadlines
-    assert all(not s.calls for s in balancer.host_set.servers.values())
+    assert all(not s.active_calls for s in balancer.host_set.servers.values())
 
 
 class RetriesFailures(Balancer):
