--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -17,10 +17,10 @@
 from honeywharf.balancer import Balancer
 from honeywharf.net import config
 from honeywharf.net.clock import Clock
-from honeywharf.net.directory import Directory
-from honeywharf.net.discovery import Watch
+from honeywharf.net.discovery import DiscoveryClient
 from honeywharf.net.downstream import Frontend
 from honeywharf.net.driver import Driver
+from honeywharf.net.endpoint_directory import EndpointDirectory
 from honeywharf.net.log import log
 from honeywharf.net.upstream import Pool
 
@@ -51,8 +51,8 @@
         self.driver = Driver(
             conf.settings, Balancer(conf.settings, conf.seed), self.pool, loop, self.clock,
             conf.report_fields)
-        self.directory = Directory(self.pool)
-        self.watch = Watch(
+        self.directory = EndpointDirectory(self.pool)
+        self.watch = DiscoveryClient(
             loop, self.clock, conf.discovery, self.directory, self.driver.discovery_event,
             polled=conf.settings.polled_discovery, rules=conf.settings.rules)
         self.driver.registry = self.watch
@@ -60,7 +60,7 @@
         # that. But not for long: the module refuses what it cannot send.
         self.frontend = Frontend(
             loop, self.clock, self.driver, room - upstream,
-            lambda: self.waited or self.watch.first_poll_done)
+            lambda: self.waited or self.watch.initialized)
         self.waited = False  # discovery has been waited for long enough
         self.stopped = asyncio.Event()
         self.told: dict[str, int] = {}
@@ -139,7 +139,7 @@
         changed = {k: v - self.told.get(k, 0) for k, v in counts.items() if v != self.told.get(k, 0)}
         if changed:
             log("stats " + " ".join(f"{k.replace(' ', '_')}={v}" for k, v in sorted(changed.items())))
-            log("list " + self.watch.figures())
+            log("list " + self.watch.summary())
             log("zones " + self.driver.balancer.summary())
         self.told = counts
         self.loop.call_later(STATS_S, self._stats)
--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -13,10 +13,10 @@
 from honeywharf.net import http1
 from honeywharf.net.clock import Clock
 from honeywharf.net.config import Address
-from honeywharf.net.directory import Directory, GenerationWentBackError
+from honeywharf.net.discovery_connection import DiscoveryConnection
+from honeywharf.net.endpoint_directory import EndpointDirectory, OlderGenerationError
 from honeywharf.net.list_expiry import ListExpiry
 from honeywharf.net.log import log
-from honeywharf.net.watch_connection import WatchConnection
 from honeywharf.policy.list_freshness import MAX_POLL_GAP_MS, ListFreshness
 
 PATH = "/registry/instances"
@@ -60,11 +60,11 @@
     answer_timer: asyncio.TimerHandle | None = None  # until the answer has to be whole
 
 
-class Watch:
+class DiscoveryClient:
     """Polls discovery, one poll at a time on one connection; a new connection whenever one fails."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, clock: Clock, address: Address, directory: Directory,
+        self, loop: asyncio.AbstractEventLoop, clock: Clock, address: Address, directory: EndpointDirectory,
         notify: Callable[[api.EndpointsListed | api.ListExpiryChanged], None], *, polled: bool,
         rules: api.Rules,
     ) -> None:
@@ -80,7 +80,7 @@
         self.watch_requested = False
         self.full_list_requested = False
         self.address_changed = False  # until the new address has answered
-        self.first_poll_done = False  # it has been answered, or has timed out
+        self.initialized = False  # it has been answered, or has timed out
         self.last_answer_ms = float("-inf")  # when the last poll's answer began, if it was answered
         self.freshness = ListFreshness(rules.poll_interval_ms if polled else 0.0)
         self.expiry = ListExpiry(loop, clock, self.freshness, notify, self._expiry_reached)
@@ -88,7 +88,7 @@
         self.may_have_missed_changes = True
         self.failures = 0  # in a row
         self.random = random.Random()
-        self.connection: WatchConnection | None = None
+        self.connection: DiscoveryConnection | None = None
         self.poll: Poll | None = None  # the one in flight
         self.polls = 0
         self.counts: dict[str, int] = {}  # of polls by what became of them, for the operator
@@ -150,7 +150,7 @@
 
     def _expire(self, why: str) -> None:
         """Have nothing sent until the next list."""
-        log(f"discovery: the list is overdue, {why}: {self.figures()}")
+        log(f"discovery: the list is overdue, {why}: {self.summary()}")
         self._count("lists overdue")
         self.expiry.expire()
 
@@ -162,7 +162,7 @@
 
     # For the operator.
 
-    def figures(self) -> str:
+    def summary(self) -> str:
         """How the list held stands, in a few words: its generation, its age, and the poll in flight."""
         age_s = (self.clock.now() - self.freshness.last_known_current_ms) / 1000.0
         age = f"{age_s:.2f} s" if age_s < float("inf") else "unknown"
@@ -214,7 +214,7 @@
         return FULL_LIST_TIMEOUT_MS if poll.full else POLL_TIMEOUT_MS
 
     async def _connect(self) -> None:
-        connection, task = WatchConnection(self), asyncio.current_task()
+        connection, task = DiscoveryConnection(self), asyncio.current_task()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000.0):
                 await self.loop.create_connection(lambda: connection, *self.address)
@@ -243,7 +243,7 @@
 
     # The ends of polls.
 
-    def data_received(self, connection: WatchConnection, data: bytes) -> None:
+    def data_received(self, connection: DiscoveryConnection, data: bytes) -> None:
         """Read the response; once it is complete, apply it, notify the module and poll again at once."""
         poll = self.poll
         if poll is None:
@@ -263,7 +263,7 @@
                 self._watch_ended(poll)
                 return
             event = self._apply(response, poll)
-        except GenerationWentBackError as fault:
+        except OlderGenerationError as fault:
             log(f"discovery: {self._poll_figures(poll)}: {fault}")
             self._poll_for_full_list()
             return
@@ -314,13 +314,13 @@
 
     def _poll_succeeded(self, poll: Poll, event: api.EndpointsListed, *, keep_alive: bool) -> None:
         quick = self.clock.now() - poll.sent_ms < 1000.0 * EMPTY_POLL_PAUSE_S
-        first = not self.first_poll_done
+        first = not self.initialized
         self._count("polls answered")
         self._log_answer(poll, event, first=first)
         self.poll, self.address_changed = None, False
         if poll.full:
             self.full_list_requested = False
-        self.first_poll_done = True
+        self.initialized = True
         self.last_answer_ms = self.clock.now() if poll.answer_began_ms is None else poll.answer_began_ms
         self.failures = 0
         if not keep_alive:
@@ -362,7 +362,7 @@
         self._count("polls timed out")
         if self.poll is not None:
             log(f"discovery: {self._poll_figures(self.poll)}: no whole answer in time")
-        self.first_poll_done = self.may_have_missed_changes = True
+        self.initialized = self.may_have_missed_changes = True
         self.poll, self.last_answer_ms = None, float("-inf")
         self._close_connection()
         self._poll()
--- a/honeywharf/net/watch_connection.py
+++ b/honeywharf/net/discovery_connection.py
@@ -13,16 +13,16 @@
 class ConnectionOwner(Protocol):
     """What a connection needs of the watch that it belongs to."""
 
-    connection: WatchConnection | None  # the one in use
+    connection: DiscoveryConnection | None  # the one in use
 
-    def data_received(self, connection: WatchConnection, data: bytes) -> None:
+    def data_received(self, connection: DiscoveryConnection, data: bytes) -> None:
         """Take what has come on the connection in use."""
 
     def connection_lost(self) -> None:
         """Take note that the connection in use is lost."""
 
 
-class WatchConnection(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """One connection to discovery. What is received on it counts only while the watch holds it.
 
     Guards against bytes, or the loss, of an abandoned connection affecting the one that replaced it.
--- a/honeywharf/net/directory.py
+++ b/honeywharf/net/endpoint_directory.py
@@ -17,7 +17,7 @@
 }
 
 
-class GenerationWentBackError(ValueError):
+class OlderGenerationError(ValueError):
     """Changes up to a generation older than the one held: they do not follow on the list held."""
 
 
@@ -50,7 +50,7 @@
     )
 
 
-class Directory:
+class EndpointDirectory:
     """The endpoints of the last list and its generation; keeps the pool's endpoints the same as its own."""
 
     def __init__(self, pool: Pool) -> None:
@@ -61,7 +61,7 @@
     def apply(self, raw: Any, kind: api.ListKind | None = None) -> api.EndpointsListed:
         """Apply a list to the pool and return it as an event; ValueError where it is no list.
 
-        GenerationWentBackError where it is changes that end before the generation held; nothing is applied.
+        OlderGenerationError where it is changes that end before the generation held; nothing is applied.
         A list of a given kind is a full one. Without a kind, the list says whether it is full.
         """
         if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
@@ -71,7 +71,7 @@
             raise ValueError("a list has a generation")
         full = bool(raw.get("reset")) or kind is not None
         if not full and generation < self.generation:
-            raise GenerationWentBackError(f"changes to generation {generation}, held is {self.generation}")
+            raise OlderGenerationError(f"changes to generation {generation}, held is {self.generation}")
         entries = self._parse_entries(raw["instances"])
         if full:
             self._remove_unlisted(entries)
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -318,7 +318,7 @@
     """Run a proxy that knows these endpoints, and whose first poll has returned that nothing has changed."""
     async with started_proxy(entries, **changes) as harness:
         harness.discovery.publish(1)
-        await wait_until(lambda: harness.proxy.watch.first_poll_done)
+        await wait_until(lambda: harness.proxy.watch.initialized)
         yield harness
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -9,7 +9,7 @@
 
 from honeywharf import __main__ as main_module, interface as api
 from honeywharf.net import discovery as discovery_module
-from honeywharf.net.directory import parse_entry
+from honeywharf.net.endpoint_directory import parse_entry
 from tests.proxy_harness import (
     Backend,
     Client,
@@ -197,7 +197,7 @@
             assert await client.round_trip(ready) == 503
             assert [e.kind for e in received_lists(harness)] == [api.ListKind.CACHED]
             harness.discovery.publish(1, discovery_entry("b", 1))
-            await wait_until(lambda: harness.proxy.watch.first_poll_done)
+            await wait_until(lambda: harness.proxy.watch.initialized)
             assert await client.round_trip(ready) == 200
     run_with_timeout(main())
 
@@ -299,7 +299,7 @@
                     lambda: sum(e.kind is api.ListKind.FAILED for e in received_lists(harness)) == number  # noqa: B023
                 )
                 assert harness.proxy.watch.poll_timer is None  # nothing is due before the module's next word
-            assert not harness.proxy.watch.first_poll_done
+            assert not harness.proxy.watch.initialized
     run_with_timeout(main())
 
 
--- a/tests/test_discovery_moves.py
+++ b/tests/test_discovery_address_change.py
@@ -42,7 +42,7 @@
             await with_timeout(backend.request_received.wait())
             record = harness.proxy.driver.balancer.host_set.servers["b"]
             harness.proxy.watch.change_address(("127.0.0.1", other.port))
-            assert harness.proxy.watch.first_poll_done  # it stays in service
+            assert harness.proxy.watch.initialized  # it stays in service
             await wait_until(lambda: len(other.request_lines) == 1)
             harness.discovery.publish(50, discovery_entry("late", 9))  # the old connection speaks up late
             other.publish(3, discovery_entry("c", 2), reset=False)
@@ -95,7 +95,7 @@
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             harness.proxy.watch.change_address(("127.0.0.1", port))
             await wait_until(lambda: harness.proxy.watch.failures >= 2)
-            assert harness.proxy.watch.first_poll_done
+            assert harness.proxy.watch.initialized
             assert harness.proxy.pool.has_endpoint("b")
             await other.start(port)
             other.responses.put_nowait(make_response(503))
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -77,7 +77,7 @@
             use_clock(worlds[-1], clock)
             discovery.publish(1, *rows(0.0), reset=True)
             await worlds[-1].start()
-            await wait_until(lambda: worlds[-1].proxy.watch.first_poll_done)
+            await wait_until(lambda: worlds[-1].proxy.watch.initialized)
             clients.append(await Client.connect(worlds[-1].port))
 
         async def run_traffic(duration_s: float, first_client: int) -> int:
