--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -115,7 +115,7 @@
 
     def _cut_off(self) -> None:
         """What is still open is answered before the process is killed, and so is what comes from now on."""
-        self.frontend.refusing = True
+        self.frontend.refusing_requests = True
         self.driver.fail_open_requests()
         self.loop.call_later(LEAVE_S, self._leave, self.clock.now() + LEAVE_LATEST_MS)
 
--- a/honeywharf/net/downstream.py
+++ b/honeywharf/net/downstream.py
@@ -19,9 +19,9 @@
 CALLS = b"/api"
 MAX_PIPELINED = 8  # requests sent ahead on one connection, of so many bytes: clients send one at a time
 MAX_PIPELINED_BYTES = http1.MAX_BODY
-SILENT_MS = 2000.0  # a connection on which nothing has come is closed then
-IDLE_MS = 6000.0  # and so is one that has been idle so long after an answer; where callers crowd, earlier:
-CROWDED_IDLE_MS = 2000.0
+FIRST_BYTE_TIMEOUT_MS = 2000.0  # a connection on which nothing has come is closed then
+IDLE_TIMEOUT_MS = 6000.0  # and so is one that has been idle so long after an answer
+REDUCED_IDLE_TIMEOUT_MS = 2000.0  # the idle timeout while more than half of the connections are taken
 SLOW_MS = 2400.0  # a request must be whole so long after its first byte
 YOUNG_MS = 250.0  # under that age a connection that says nothing is not the first to go
 LINGER_S = 0.5  # after a last answer: closing on unread bytes would take the answer back
@@ -220,7 +220,7 @@
         self.listener: socket.socket | None = None
         self.accepting: set[asyncio.Task[object]] = set()
         self.draining = False
-        self.refusing = False  # the process is about to end: what comes now is refused at once
+        self.refusing_requests = False  # the process is about to end: what comes now is refused at once
         self.on_empty: Callable[[], None] | None = None
 
     async def listen(self, where: Address) -> Address:
@@ -297,7 +297,7 @@
             connection.answer(404)
         elif self.driver.invalid_reason(request) is not None:
             connection.reject(400)
-        elif self.refusing or self.driver.at_capacity():
+        elif self.refusing_requests or self.driver.at_capacity():
             connection.answer(SERVICE_UNAVAILABLE)  # before it reaches the module: nothing has run
         elif not self.driver.request_arrived(request, connection):
             connection.answer(409)
@@ -353,8 +353,8 @@
     def _sweep(self) -> None:
         """Guards against callers that keep a descriptor and ask nothing, or never come to an end."""
         now, crowded = self.clock.now(), len(self.connections) * 2 > self.max_connections
-        self._close_older(self.silent, now - SILENT_MS)
-        self._close_older(self.idle, now - (CROWDED_IDLE_MS if crowded else IDLE_MS))
+        self._close_older(self.silent, now - FIRST_BYTE_TIMEOUT_MS)
+        self._close_older(self.idle, now - (REDUCED_IDLE_TIMEOUT_MS if crowded else IDLE_TIMEOUT_MS))
         while self.partial and (first := next(iter(self.partial))).since_ms <= now - SLOW_MS:
             first.reject(408)
         self.loop.call_later(SWEEP_S, self._sweep)
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -145,7 +145,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nContent-Le", b"GET /none HTTP/1.1\r\n\r\n"])
 def test_who_asks_nothing_is_closed_after_a_while(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("SILENT_MS", "IDLE_MS", "SLOW_MS"):
+    for name in ("FIRST_BYTE_TIMEOUT_MS", "IDLE_TIMEOUT_MS", "SLOW_MS"):
         monkeypatch.setattr(downstream, name, 50.0)
     monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
 
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -55,7 +55,7 @@
     """
     monkeypatch.setattr(list_freshness, "MAX_AGE_MS", 1e9)
     # The clock advances fast, but the clients' connections must stay open.
-    for name in ("SILENT_MS", "IDLE_MS", "CROWDED_IDLE_MS"):
+    for name in ("FIRST_BYTE_TIMEOUT_MS", "IDLE_TIMEOUT_MS", "REDUCED_IDLE_TIMEOUT_MS"):
         monkeypatch.setattr(downstream, name, 1e9)
 
     async def main() -> None:
