--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -17,12 +17,12 @@
 from honeywharf.balancer import Balancer
 from honeywharf.net import config
 from honeywharf.net.clock import Clock
+from honeywharf.net.connection_pool import ConnectionPool
 from honeywharf.net.directory import Directory
 from honeywharf.net.discovery import Watch
 from honeywharf.net.downstream import Frontend
 from honeywharf.net.driver import Driver
 from honeywharf.net.log import log
-from honeywharf.net.upstream import Pool
 
 # Shares of the descriptors: callers hold a third at most with requests, each of which wants a connection to a
 # backend; the rest is for callers that idle. The proxy's own are those of the interpreter, the loop, the
@@ -47,7 +47,7 @@
         sockets = min(conf.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         room = sockets - min(max(OWN_LEAST, int(sockets * OWN_SHARE)), sockets // 2)
         upstream = min(int(sockets * UPSTREAM_SHARE), room // 2)
-        self.pool = Pool(loop, self.clock, conf.settings.limits, upstream)
+        self.pool = ConnectionPool(loop, self.clock, conf.settings.limits, upstream)
         self.driver = Driver(
             conf.settings, Balancer(conf.settings, conf.seed), self.pool, loop, self.clock,
             conf.report_fields)
@@ -134,7 +134,7 @@
         """Now and then, what has been done since: a line for the operator."""
         counts = {
             **self.driver.counts, **self.watch.counts, "handshakes": self.pool.handshakes,
-            "late_connections": self.pool.late,
+            "late_connections": self.pool.slow_connect_count,
         }
         changed = {k: v - self.told.get(k, 0) for k, v in counts.items() if v != self.told.get(k, 0)}
         if changed:
--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -63,7 +63,7 @@
     address: Address
     started_ms: float | None
     host: bytes
-    open_for_work: bool = True  # else its connections are not kept
+    accepts_calls: bool = True  # else its connections are not kept
     idle_ms: float = float("inf")  # what it was seen to close idle connections after, less a margin
     idle: deque[Connection] = field(default_factory=deque)  # the last used at the right
     waiting: dict[Call, asyncio.TimerHandle] = field(default_factory=dict)  # the oldest first
--- a/honeywharf/net/connect_times.py
+++ b/honeywharf/net/connect_times.py
@@ -11,7 +11,7 @@
 LATE_AFTER = 4.0
 # No connection is late before this: the loop may notice one so much later than the system. It is the least
 # delay that RFC 8305 (section 5) allows between two attempts at a connection.
-LEAST_PATIENCE_MS = 10.0
+MIN_SLOW_THRESHOLD_MS = 10.0
 
 
 class ConnectTimes:
@@ -30,6 +30,6 @@
     def patience_ms(self) -> float:
         """How long a connection may take before it counts as late."""
         if len(self._recent) < 2:
-            return LEAST_PATIENCE_MS
+            return MIN_SLOW_THRESHOLD_MS
         quartile = statistics.quantiles(self._recent, n=4)[0]
-        return max(LEAST_PATIENCE_MS, LATE_AFTER * quartile)
+        return max(MIN_SLOW_THRESHOLD_MS, LATE_AFTER * quartile)
--- a/honeywharf/net/upstream.py
+++ b/honeywharf/net/connection_pool.py
@@ -17,13 +17,13 @@
 IDLE_MARGIN_MS = 750.0
 # A connection is not used again so soon after its answer: a backend may send a second one some milliseconds
 # late, and it would be taken for the next request's. Costs a busy pool about one connection more.
-SETTLE_MS = 25.0
+REUSE_DELAY_MS = 25.0
 SWEEP_S = 0.5
 MAX_DOUBLINGS = 10  # of the patience with a connection: far over any time-out by then
 OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
-class Pool:
+class ConnectionPool:
     """All connections to all backends, within one bound."""
 
     def __init__(
@@ -37,15 +37,15 @@
         self.count = 0  # connections open or opening
         self.handshakes = 0
         self.bytes_read = 0  # of answers that have begun and not ended
-        self.late = 0  # connections that did not come up in time
+        self.slow_connect_count = 0  # connections that did not come up in time
         self.connect_times = ConnectTimes()
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.connect_tasks: set[asyncio.Task[None]] = set()
         loop.call_later(SWEEP_S, self._sweep)
 
     # The list.
 
     def set_endpoint(
-        self, endpoint: str, address: Address, started_ms: float | None, *, open_for_work: bool,
+        self, endpoint: str, address: Address, started_ms: float | None, *, accepts_calls: bool,
     ) -> None:
         """Add or update an endpoint; a changed address or start time closes its idle connections."""
         known = self.backends.get(endpoint)
@@ -54,8 +54,8 @@
                 self._retire(known)
             host = f"{address[0]}:{address[1]}"
             self.backends[endpoint] = known = Backend(address, started_ms, host.encode())
-        known.open_for_work = open_for_work
-        if not open_for_work:
+        known.accepts_calls = accepts_calls
+        if not accepts_calls:
             self._retire(known)
 
     def remove_endpoint(self, endpoint: str) -> None:
@@ -76,7 +76,7 @@
 
     def _retire(self, backend: Backend) -> None:
         """Stop sending on a backend's connections, those still being opened included."""
-        backend.open_for_work = False
+        backend.accepts_calls = False
         self._fail_all_waiting(backend)
         self._close_idle(backend)
 
@@ -121,7 +121,7 @@
         """The connection used last, of those that have settled and are still good."""
         now = self.clock.now()
         oldest = now - min(self.idle_ms, backend.idle_ms)
-        for connection in [c for c in reversed(backend.idle) if c.answered_ms <= now - SETTLE_MS]:
+        for connection in [c for c in reversed(backend.idle) if c.answered_ms <= now - REUSE_DELAY_MS]:
             backend.idle.remove(connection)
             if (connection.idle_since > oldest and not connection.transport.is_closing()
                     and not connection.stale()):
@@ -167,7 +167,7 @@
     def _serve_when_settled(self, backend: Backend) -> None:
         """Come back to the calls that wait once the next kept connection may be used again."""
         if backend.idle and backend.settling is None:
-            due_ms = min(c.answered_ms for c in backend.idle) + SETTLE_MS + TIMER_EARLY_MS
+            due_ms = min(c.answered_ms for c in backend.idle) + REUSE_DELAY_MS + TIMER_EARLY_MS
             wait_s = max(0.0, due_ms - self.clock.now()) / 1000.0
             backend.settling = self.loop.call_later(wait_s, self._settled, backend)
 
@@ -204,12 +204,12 @@
         if patience_ms < self.connect_timeout_s * 1000.0:
             dial.timer = self.loop.call_later(patience_ms / 1000.0, self._is_late, dial, backend)
         task = self.loop.create_task(self._open(dial, backend))
-        self.tasks.add(task)
-        task.add_done_callback(self.tasks.discard)
+        self.connect_tasks.add(task)
+        task.add_done_callback(self.connect_tasks.discard)
 
     def _is_late(self, dial: Dial, backend: Backend) -> None:
         dial.late = True
-        self.late += 1
+        self.slow_connect_count += 1
         backend.late_in_a_row += 1
         self._serve_waiting(backend)
         self._dial_for_waiting(backend)
@@ -259,7 +259,7 @@
 
     def release(self, connection: Connection) -> None:
         """Return the connection to its backend's idle ones, unless the backend takes no more calls."""
-        if not connection.backend.open_for_work:
+        if not connection.backend.accepts_calls:
             connection.drop()
             return
         backend = connection.backend
--- a/honeywharf/net/directory.py
+++ b/honeywharf/net/directory.py
@@ -6,8 +6,8 @@
 
 from honeywharf import interface as api
 from honeywharf.net.config import Address, address
+from honeywharf.net.connection_pool import ConnectionPool
 from honeywharf.net.log import log
-from honeywharf.net.upstream import Pool
 
 MAX_STARTED_MS = 1e15
 MAX_WEIGHT = 1e9
@@ -53,7 +53,7 @@
 class Directory:
     """The endpoints of the last list and its generation; keeps the pool's endpoints the same as its own."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.generation = 0
         self.endpoint_ids: set[str] = set()
@@ -101,7 +101,7 @@
             return
         self.endpoint_ids.add(endpoint.id)
         ready = endpoint.state is api.EndpointState.READY
-        self.pool.set_endpoint(endpoint.id, entry.address, endpoint.started_ms, open_for_work=ready)
+        self.pool.set_endpoint(endpoint.id, entry.address, endpoint.started_ms, accepts_calls=ready)
 
     def _remove(self, endpoint_id: str) -> None:
         self.endpoint_ids.discard(endpoint_id)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -48,8 +48,8 @@
     """Stop the proxy from opening a second connection when the first one is slow to connect.
 
     The proxy waits for at least 10 ms before it does so. A loaded machine can delay a connection by more than
-    that, and many tests count connections. Only the tests of slow connections, in test_dialing.py, keep the
-    real minimum, because they set the delays themselves.
+    that, and many tests count connections. Only the tests of slow connections, in test_slow_connections.py,
+    keep the real minimum, because they set the delays themselves.
     """
-    if request.module.__name__ != "tests.test_dialing":
-        monkeypatch.setattr(connect_times, "LEAST_PATIENCE_MS", 60_000.0)
+    if request.module.__name__ != "tests.test_slow_connections":
+        monkeypatch.setattr(connect_times, "MIN_SLOW_THRESHOLD_MS", 60_000.0)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -10,7 +10,7 @@
 import pytest
 
 from honeywharf import interface as api
-from honeywharf.net import upstream
+from honeywharf.net import connection_pool
 from tests.proxy_harness import (
     Backend,
     GatedLoop,
@@ -97,7 +97,7 @@
     disconnect_mode: str, event_type: type, number: int, sent: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     # Without a settling time, the attempt is written to an idle connection at once.
-    monkeypatch.setattr(upstream, "SETTLE_MS", 0.0)
+    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
 
     async def main() -> None:
         backend = await Backend().start()
--- a/tests/test_upstream.py
+++ b/tests/test_connection_pool.py
@@ -11,9 +11,9 @@
 import pytest
 
 from honeywharf import interface as api
-from honeywharf.net import backend as backend_module, http1, upstream
+from honeywharf.net import backend as backend_module, connection_pool, http1
 from honeywharf.net.clock import Clock
-from honeywharf.net.upstream import Pool
+from honeywharf.net.connection_pool import ConnectionPool
 from tests.proxy_harness import (
     Backend,
     Client,
@@ -133,8 +133,8 @@
     async def main() -> None:
         backend = await Backend().start()
         loop = asyncio.get_running_loop()
-        pool = Pool(loop, Clock(), api.Limits(connect_timeout_ms=20000.0), 10)
-        pool.set_endpoint("b", ("127.0.0.1", backend.port), None, open_for_work=True)
+        pool = ConnectionPool(loop, Clock(), api.Limits(connect_timeout_ms=20000.0), 10)
+        pool.set_endpoint("b", ("127.0.0.1", backend.port), None, accepts_calls=True)
         gate = TooLate(loop)
         pool.loop = gate  # type: ignore[assignment]
         if lost_first:
@@ -154,8 +154,8 @@
     async def main() -> None:
         backend, other = await Backend().start(), await Backend().start()
         where = ("127.0.0.1", backend.port)
-        pool = Pool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
-        pool.set_endpoint("b", where, 1.0, open_for_work=True)
+        pool = ConnectionPool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
+        pool.set_endpoint("b", where, 1.0, accepts_calls=True)
         call = RecordingCall(b"x")
         pool.start(call)
         if change == "leaves":
@@ -163,7 +163,7 @@
         else:
             pool.set_endpoint(
                 "b", ("127.0.0.1", other.port) if change == "moves" else where,
-                2.0 if change == "starts anew" else 1.0, open_for_work=change != "drains")
+                2.0 if change == "starts anew" else 1.0, accepts_calls=change != "drains")
         await with_timeout(call.finished.wait())
         assert call.outcomes == [Outcome.NOT_SENT]
         await wait_until(lambda: backend.closed_connection_count == 1)
@@ -182,8 +182,8 @@
             deaf.listen()
             deaf.setblocking(False)
             loop = asyncio.get_running_loop()
-            pool = Pool(loop, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
-            pool.set_endpoint("b", deaf.getsockname(), None, open_for_work=True)
+            pool = ConnectionPool(loop, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
+            pool.set_endpoint("b", deaf.getsockname(), None, accepts_calls=True)
             call = RecordingCall(b"x" * (64 << 20))
             pool.start(call)
             peer, _ = await with_timeout(loop.sock_accept(deaf))
@@ -223,8 +223,8 @@
             listener.setblocking(False)
             loop = asyncio.get_running_loop()
             small = SmallBuffers(loop)
-            pool = Pool(small, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)  # type: ignore[arg-type]
-            pool.set_endpoint("b", listener.getsockname(), None, open_for_work=True)
+            pool = ConnectionPool(small, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)  # type: ignore[arg-type]
+            pool.set_endpoint("b", listener.getsockname(), None, accepts_calls=True)
             call = RecordingCall(b"x" * 20_000)
             pool.start(call)
             peer, _ = await with_timeout(loop.sock_accept(listener))
@@ -287,11 +287,11 @@
     run_with_timeout(main())
 
 
-def settle(pool: Pool) -> None:
+def settle(pool: ConnectionPool) -> None:
     """As if the last answers on all kept connections had come long enough ago."""
     for backend in pool.backends.values():
         for connection in backend.idle:
-            connection.answered_ms -= upstream.SETTLE_MS
+            connection.answered_ms -= connection_pool.REUSE_DELAY_MS
 
 
 def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests() -> None:
@@ -443,7 +443,7 @@
             client.writer.close()
             await wait_until(lambda: any(isinstance(e, api.RequestAbandoned) for e in harness.events))
             gate.connections_allowed.set()
-            await wait_until(lambda: not pool.tasks)
+            await wait_until(lambda: not pool.connect_tasks)
             assert [(e.outcome, e.request_finished) for e in harness.ended_attempts()] == [
                 (Outcome.NOT_SENT, True)
             ]
@@ -459,12 +459,12 @@
 def test_the_bound_on_connections_closes_idle_ones_and_then_sends_nothing() -> None:
     async def main() -> None:
         first, second = await Backend().start(), await Backend().start()
-        pool = Pool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 1)
-        pool.set_endpoint("b", ("127.0.0.1", first.port), None, open_for_work=True)
+        pool = ConnectionPool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 1)
+        pool.set_endpoint("b", ("127.0.0.1", first.port), None, accepts_calls=True)
         one = RecordingCall(b"")
         pool.start(one)
         await with_timeout(one.finished.wait())
-        pool.set_endpoint("c", ("127.0.0.1", second.port), None, open_for_work=True)
+        pool.set_endpoint("c", ("127.0.0.1", second.port), None, accepts_calls=True)
         second.default_response = None
         two, three = RecordingCall(b""), RecordingCall(b"")
         two.endpoint = three.endpoint = "c"
@@ -521,8 +521,8 @@
     async def main() -> None:
         backend = await Backend().start()
         loop = asyncio.get_running_loop()
-        pool = Pool(loop, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
-        pool.set_endpoint("b", ("127.0.0.1", backend.port), None, open_for_work=True)
+        pool = ConnectionPool(loop, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
+        pool.set_endpoint("b", ("127.0.0.1", backend.port), None, accepts_calls=True)
         first = RecordingCall(b"1")
         pool.start(first)
         await with_timeout(first.finished.wait())
@@ -565,8 +565,8 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        pool = Pool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
-        pool.set_endpoint("b", ("127.0.0.1", backend.port), None, open_for_work=True)
+        pool = ConnectionPool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
+        pool.set_endpoint("b", ("127.0.0.1", backend.port), None, accepts_calls=True)
         first = RecordingCall(b"1")
         pool.start(first)
         await with_timeout(first.finished.wait())
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -177,7 +177,7 @@
             harness.proxy.watch._expiry_reached()
             assert await client.read_status() == 503
             gate.connections_allowed.set()
-            await wait_until(lambda: not harness.proxy.pool.tasks)
+            await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert backend.requests == []
         await backend.stop()
     run_with_timeout(main())
--- a/tests/test_dialing.py
+++ b/tests/test_slow_connections.py
@@ -12,8 +12,8 @@
 
 from honeywharf import interface as api
 from honeywharf.net.clock import Clock
-from honeywharf.net.connect_times import LATE_AFTER, LEAST_PATIENCE_MS, SAMPLES, ConnectTimes
-from honeywharf.net.upstream import Pool
+from honeywharf.net.connect_times import LATE_AFTER, MIN_SLOW_THRESHOLD_MS, SAMPLES, ConnectTimes
+from honeywharf.net.connection_pool import ConnectionPool
 from tests.proxy_harness import (
     Backend,
     Client,
@@ -53,15 +53,17 @@
         return await self.loop.create_connection(*args)
 
 
-def make_pool(backend: Backend, *late: int, most: int = 10, timeout_ms: float = 60000.0) -> tuple[Pool, Late]:
+def make_pool(
+    backend: Backend, *late: int, most: int = 10, timeout_ms: float = 60000.0,
+) -> tuple[ConnectionPool, Late]:
     loop = Late(asyncio.get_running_loop(), *late)
     limits = api.Limits(connect_timeout_ms=timeout_ms)
-    pool = Pool(loop, Clock(), limits, most)  # type: ignore[arg-type]
-    pool.set_endpoint("b", ("127.0.0.1", backend.port), None, open_for_work=True)
+    pool = ConnectionPool(loop, Clock(), limits, most)  # type: ignore[arg-type]
+    pool.set_endpoint("b", ("127.0.0.1", backend.port), None, accepts_calls=True)
     return pool, loop
 
 
-def start(pool: Pool, *bodies: bytes) -> list[RecordingCall]:
+def start(pool: ConnectionPool, *bodies: bytes) -> list[RecordingCall]:
     calls = [RecordingCall(body) for body in bodies]
     for call in calls:
         pool.start(call)
@@ -87,7 +89,7 @@
         pool, loop = make_pool(backend, *range(late))
         (call,) = start(pool, b"once")
         await with_timeout(call.finished.wait())
-        assert (call.outcomes, loop.dialled, pool.late) == ([Outcome.OK], late + 1, late)
+        assert (call.outcomes, loop.dialled, pool.slow_connect_count) == ([Outcome.OK], late + 1, late)
         loop.let.set()
         await wait_until(lambda: backend.connection_count == late + 1)
         await wait_until(lambda: len(pool.backends["b"].idle) == late + 1)
@@ -132,7 +134,7 @@
         pool, loop = make_pool(backend, 1, most=2)
         first, second = start(pool, b"first", b"second")
         await with_timeout(backend.request_received.wait())
-        await wait_until(lambda: pool.late == 1)
+        await wait_until(lambda: pool.slow_connect_count == 1)
         for writer in list(backend.writers):
             writer.write(make_response())
         await with_timeout(second.finished.wait())
@@ -146,13 +148,13 @@
     async def main() -> None:
         backend, other = await Backend().start(), await Backend().start()
         pool, loop = make_pool(backend, 1, most=2)
-        pool.set_endpoint("other", ("127.0.0.1", other.port), None, open_for_work=True)
+        pool.set_endpoint("other", ("127.0.0.1", other.port), None, accepts_calls=True)
         kept = RecordingCall(b"")
         kept.endpoint = "other"
         pool.start(kept)
         await with_timeout(kept.finished.wait())
         (call,) = start(pool, b"")
-        await wait_until(lambda: pool.late == 1)
+        await wait_until(lambda: pool.slow_connect_count == 1)
         assert (loop.dialled, pool.count, len(pool.backends["other"].idle)) == (2, 2, 1)
         loop.let.set()
         await with_timeout(call.finished.wait())
@@ -175,7 +177,7 @@
         await with_timeout(call.finished.wait())
         assert loop.dialled <= before + 2
         loop.let.set()
-        await wait_until(lambda: not pool.tasks)
+        await wait_until(lambda: not pool.connect_tasks)
         (call,) = start(pool, b"")
         await with_timeout(call.finished.wait())
         assert (call.outcomes, pool.backends["b"].late_in_a_row) == ([Outcome.OK], 0)
@@ -201,7 +203,7 @@
         pool, loop = make_pool(backend, 0)
         loop.fault = OSError(errno.EMFILE, "no descriptor")
         (call,) = start(pool, b"")
-        await wait_until(lambda: loop.dialled == 2 and len(pool.tasks) == 1)
+        await wait_until(lambda: loop.dialled == 2 and len(pool.connect_tasks) == 1)
         loop.let.set()
         await with_timeout(call.finished.wait())
         assert (call.outcomes, loop.dialled) == ([Outcome.OK], 2)
@@ -220,18 +222,18 @@
         backend, other = await Backend().start(), await Backend().start()
         pool, loop = make_pool(backend, *range(1000))
         calls = start(pool, b"1", b"2")
-        await wait_until(lambda: pool.late >= 3)
+        await wait_until(lambda: pool.slow_connect_count >= 3)
         where = ("127.0.0.1", other.port if change == "moves" else backend.port)
         if change == "leaves":
             pool.remove_endpoint("b")
         else:
             pool.set_endpoint(
-                "b", where, 2.0 if change == "starts anew" else None, open_for_work=change != "drains")
+                "b", where, 2.0 if change == "starts anew" else None, accepts_calls=change != "drains")
         for call in calls:
             await with_timeout(call.finished.wait())
             assert call.outcomes == [Outcome.NOT_SENT]
         loop.let.set()
-        await wait_until(lambda: not pool.tasks)
+        await wait_until(lambda: not pool.connect_tasks)
         await wait_until(lambda: backend.closed_connection_count == loop.dialled)
         assert (pool.count, backend.requests, other.requests) == (0, [], [])
         await backend.stop()
@@ -244,12 +246,12 @@
         async with proxy(*range(1000)) as (harness, backend, loop):
             client = await Client.connect(harness.port)
             client.send("pay", b"left")
-            await wait_until(lambda: harness.proxy.pool.late >= 2)
+            await wait_until(lambda: harness.proxy.pool.slow_connect_count >= 2)
             client.writer.close()
             await wait_until(lambda: harness.ended_attempts() != [])
             dialled = loop.dialled
             loop.let.set()
-            await wait_until(lambda: not harness.proxy.pool.tasks)
+            await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert [(e.outcome, e.request_finished) for e in harness.ended_attempts()] == [
                 (Outcome.NOT_SENT, True)
             ]
@@ -268,7 +270,7 @@
             assert {e.outcome for e in harness.ended_attempts()} == {Outcome.NOT_SENT}
             assert harness.ended_attempts()[0].time_to_send_ms == harness.ended_attempts()[0].elapsed_ms
             loop.let.set()
-            await wait_until(lambda: not harness.proxy.pool.tasks)
+            await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert backend.requests == []
     run_with_timeout(main())
 
@@ -300,10 +302,10 @@
 
 def test_the_patience_follows_the_quicker_connections_and_survives_many_late_ones() -> None:
     times = ConnectTimes()
-    assert times.patience_ms() == LEAST_PATIENCE_MS
+    assert times.patience_ms() == MIN_SLOW_THRESHOLD_MS
     for i in range(SAMPLES):
         times.add(1000.0 if i % 3 else 0.2)  # two in three are late
-    assert times.patience_ms() == LEAST_PATIENCE_MS
+    assert times.patience_ms() == MIN_SLOW_THRESHOLD_MS
     for _ in range(SAMPLES):
         times.add(30.0)  # all backends are slow to accept: that is how they are
     assert times.patience_ms() == LATE_AFTER * 30.0
