--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -53,9 +53,9 @@
             conf.report_fields)
         self.directory = Directory(self.pool)
         self.watch = Watch(
-            loop, self.clock, conf.discovery, self.directory, self.driver.discovery_event,
+            loop, self.clock, conf.discovery, self.directory, self.driver.handle_discovery_event,
             polled=conf.settings.polled_discovery, rules=conf.settings.rules)
-        self.driver.registry = self.watch
+        self.driver.discovery = self.watch
         # Out of service until discovery has answered, as nothing is sent on the list of the last run before
         # that. But not for long: the module refuses what it cannot send.
         self.frontend = Frontend(
@@ -82,7 +82,7 @@
         gc.freeze()  # the collector need not look at what stays
         gc.set_threshold(20000, 20, 50)
         await self.stopped.wait()
-        log(f"stops: {self.driver.open_requests} requests open")
+        log(f"stops: {self.driver.open_request_count} requests open")
 
     def reload(self) -> None:
         """Take over where discovery is now. All that is held, requests and records, goes on untouched."""
@@ -103,7 +103,7 @@
         if self.frontend.draining:
             return
         connections = len(self.frontend.connections)
-        log(f"drain: {self.driver.open_requests} requests open on {connections} connections")
+        log(f"drain: {self.driver.open_request_count} requests open on {connections} connections")
         self.frontend.drain()
         longest = max(c.deadline_ms for c in self.conf.settings.classes)
         self.loop.call_later(ACCEPT_S, self._close_listener)
--- a/honeywharf/net/attempts.py
+++ b/honeywharf/net/attempts.py
@@ -6,7 +6,7 @@
 
 from honeywharf import interface as api
 from honeywharf.net import http1
-from honeywharf.net.calls import Call, Caller
+from honeywharf.net.calls import Call, Client
 from honeywharf.net.clock import Clock, Timer
 
 
@@ -32,12 +32,12 @@
     """
 
     __slots__ = (
-        "attempts", "caller", "deadline_ms", "head", "live_attempts", "over", "queued_events", "request",
+        "attempts", "caller", "deadline_at_ms", "head", "live_attempts", "over", "queued_events", "request",
         "timer",
     )
 
-    def __init__(self, request: http1.Request, caller: Caller, deadline_ms: float) -> None:
-        self.request, self.caller, self.deadline_ms = request, caller, deadline_ms
+    def __init__(self, request: http1.Request, caller: Client, deadline_at_ms: float) -> None:
+        self.request, self.caller, self.deadline_at_ms = request, caller, deadline_at_ms
         self.head = request.head()
         self.attempts: list[Attempt | None] = []  # None where it was never sent
         self.live_attempts = 0
@@ -52,16 +52,16 @@
     __slots__ = ("__weakref__", "live", "number", "owner", "pending", "send_by_ms", "started_ms", "timer")
 
     def __init__(
-        self, owner: AttemptOwner, pending: PendingRequest, endpoint: str, now: float, until_ms: float,
+        self, owner: AttemptOwner, pending: PendingRequest, endpoint: str, now: float, deadline_at_ms: float,
         send_by_ms: float,
     ) -> None:
-        super().__init__(endpoint, pending.head, pending.request.body, until_ms)
+        super().__init__(endpoint, pending.head, pending.request.body, deadline_at_ms)
         self.owner, self.pending, self.number, self.started_ms = owner, pending, len(pending.attempts), now
         self.send_by_ms = send_by_ms
         self.live = True
         self.timer: Timer | None = None
 
-    def may_send(self) -> bool:
+    def may_be_sent(self) -> bool:
         """Whether its client is still connected and the time in which it may be sent has not run out.
 
         Guards against attempts that are sent after their client left: its close may wait unread in the system
@@ -75,7 +75,7 @@
             self.owner.client_disconnected(self.pending.request)
         return not self.pending.over
 
-    def ended(self, outcome: api.Outcome, response: http1.Response | None) -> None:
+    def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
         """Pass the outcome to the owner."""
         self.owner.attempt_ended(self, outcome, response)
 
@@ -85,11 +85,13 @@
 
     __slots__ = ("live", "owner", "started_ms", "timer")
 
-    def __init__(self, owner: AttemptOwner, endpoint: str, head: bytes, now: float, until_ms: float) -> None:
-        super().__init__(endpoint, head, b"", until_ms, probe=True)
+    def __init__(
+        self, owner: AttemptOwner, endpoint: str, head: bytes, now: float, deadline_at_ms: float,
+    ) -> None:
+        super().__init__(endpoint, head, b"", deadline_at_ms, is_probe=True)
         self.owner, self.started_ms, self.live = owner, now, True
         self.timer: Timer | None = None
 
-    def ended(self, outcome: api.Outcome, response: http1.Response | None) -> None:
+    def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
         """Pass the result to the owner."""
         self.owner.probe_ended(self, outcome, response)
--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -118,15 +118,15 @@
 
     def carry(self, call: Call) -> None:
         """Write the whole request, in one write, if it may still be sent."""
-        if not call.may_send():
+        if not call.may_be_sent():
             self.pool.release(self)
             # Its end never comes from within `start`.
             self.pool.loop.call_soon(self.pool.fail_unsent, call, O.NOT_SENT)
             return
         self.call, call.connection = call, self
         call.written_ms = now = self.pool.clock.now()
-        left = b"" if call.probe else http1.time_left(call.until_ms - now)
-        host = b"Host: %b\r\n" % self.backend.host if call.probe else b""
+        left = b"" if call.is_probe else http1.time_left(call.deadline_at_ms - now)
+        host = b"Host: %b\r\n" % self.backend.host if call.is_probe else b""
         self.transport.write(b"%b%b%b\r\n%b" % (call.head, host, left, call.body))
         if self.transport.is_closing():
             # Guards against taking a write that failed for one that left: nothing of it did.
@@ -212,7 +212,7 @@
             self.drop()
         if call is not None:
             call.connection = None
-            call.ended(outcome, response)
+            call.complete(outcome, response)
 
     def drop(self) -> None:
         """Close at once; what was not written stays unwritten."""
--- a/honeywharf/net/calls.py
+++ b/honeywharf/net/calls.py
@@ -1,7 +1,7 @@
 """A call to a backend, and the interfaces between the driver and its surroundings.
 
-They keep the driver free of sockets: callers, backends and discovery are behind `Caller`, `Transport` and
-`Registry`.
+They keep the driver free of sockets: callers, backends and discovery are behind `Client`, `ConnectionPool`
+and `DiscoveryClient`.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from honeywharf.net import http1
 
 
-class Caller(Protocol):
+class Client(Protocol):
     """The source of a request, which receives its one final answer."""
 
     def answer(
-        self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, kind: bytes = b"",
+        self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
     ) -> None:
         """Write the final answer."""
 
@@ -25,48 +25,51 @@
 
 
 class Call:
-    """One exchange with a backend. The transport calls `ended` once, unless the call is aborted."""
+    """One exchange with a backend. The transport calls `complete` once, unless the call is aborted."""
 
-    __slots__ = ("body", "connection", "endpoint", "head", "probe", "until_ms", "waiting", "written_ms")
+    __slots__ = (
+        "awaiting_connection", "body", "connection", "deadline_at_ms", "endpoint", "head", "is_probe",
+        "written_ms",
+    )
 
     def __init__(
-        self, endpoint: str, head: bytes, body: bytes, until_ms: float, *, probe: bool = False,
+        self, endpoint: str, head: bytes, body: bytes, deadline_at_ms: float, *, is_probe: bool = False,
     ) -> None:
         self.endpoint, self.head, self.body = endpoint, head, body
-        self.until_ms, self.probe = until_ms, probe
+        self.deadline_at_ms, self.is_probe = deadline_at_ms, is_probe
         self.connection: object = None
-        self.waiting = False  # until it gets a connection
+        self.awaiting_connection = False  # until it gets a connection
         self.written_ms: float | None = None  # when its bytes were written; None before that
 
-    def may_send(self) -> bool:
+    def may_be_sent(self) -> bool:
         """Whether it may still be sent: asked just before its bytes are written."""
         return True
 
-    def ended(self, outcome: api.Outcome, response: http1.Response | None) -> None:
+    def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
         """Take the outcome of the call."""
         raise NotImplementedError
 
 
-class Transport(Protocol):
+class ConnectionPool(Protocol):
     """Carries calls to the backends."""
 
     def has_endpoint(self, endpoint: str) -> bool:
         """Whether a list has named the endpoint."""
 
     def start(self, call: Call) -> None:
-        """Start the call; `ended` is called later, never from within this method."""
+        """Start the call; `complete` is called later, never from within this method."""
 
     def abort(self, call: Call) -> None:
-        """Abort the call: its connection closes, and `ended` is not called."""
+        """Abort the call: its connection closes, and `complete` is not called."""
 
-    def unsent(self, call: Call) -> bool:
+    def has_unwritten_data(self, call: Call) -> bool:
         """Whether part of the call is not written yet: aborted now, it never runs."""
 
     def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to an endpoint."""
 
 
-class Registry(Protocol):
+class DiscoveryClient(Protocol):
     """The source of endpoint lists: service discovery."""
 
     def watch(self) -> None:
--- a/honeywharf/net/downstream.py
+++ b/honeywharf/net/downstream.py
@@ -109,14 +109,15 @@
             self.frontend.wait_for_request(self)
 
     def answer(
-        self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, kind: bytes = b"",
+        self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
     ) -> None:
         """Write the answer to the current request, then turn to the next."""
         request, self.current = self.current, None
         if request is None or self.finished:
             return
         keep = request.keep and not self.frontend.draining
-        self.transport.write(http1.answer(status, body, keep=keep, retry_after_ms=retry_after_ms, kind=kind))
+        self.transport.write(http1.answer(
+            status, body, keep=keep, retry_after_ms=retry_after_ms, kind=content_type))
         if not keep:
             self._linger()
         elif self.pipelined or self.fault is not None:
@@ -295,11 +296,11 @@
             connection.answer(200 if self.ready() else SERVICE_UNAVAILABLE)
         elif path != CALLS and not path.startswith(CALLS + b"/"):
             connection.answer(404)
-        elif self.driver.invalid_reason(request) is not None:
+        elif self.driver.validation_error(request) is not None:
             connection.reject(400)
         elif self.refusing or self.driver.at_capacity():
             connection.answer(SERVICE_UNAVAILABLE)  # before it reaches the module: nothing has run
-        elif not self.driver.request_arrived(request, connection):
+        elif not self.driver.accept_request(request, connection):
             connection.answer(409)
 
     def ready(self) -> bool:
--- a/honeywharf/net/driver.py
+++ b/honeywharf/net/driver.py
@@ -1,7 +1,7 @@
 """The driver: feeds events to the decision module one at a time and executes its actions in order.
 
 It owns the clock, the timers and the table of requests, and knows nothing of sockets: callers and backends
-are behind `Caller` and `Transport`. All decisions are the module's.
+are behind `Client` and `ConnectionPool`. All decisions are the module's.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from honeywharf.balancer import Balancer
 from honeywharf.net import http1
 from honeywharf.net.attempts import Attempt, PendingRequest, Probe
-from honeywharf.net.calls import Caller, Registry, Transport
+from honeywharf.net.calls import Client, ConnectionPool, DiscoveryClient
 from honeywharf.net.clock import TIMER_EARLY_MS, Clock, Loop
 from honeywharf.net.log import log
 
@@ -28,18 +28,18 @@
     """Runs one proxy's decision module."""
 
     def __init__(
-        self, settings: api.Settings, balancer: Balancer, transport: Transport, loop: Loop, clock: Clock,
+        self, settings: api.Settings, balancer: Balancer, pool: ConnectionPool, loop: Loop, clock: Clock,
         report_fields: tuple[str, ...] = (),
     ) -> None:
-        self.settings, self.balancer, self.transport, self.loop, self.clock = (
-            settings, balancer, transport, loop, clock)
-        self.registry: Registry | None = None
+        self.settings, self.balancer, self.pool, self.loop, self.clock = (
+            settings, balancer, pool, loop, clock)
+        self.discovery: DiscoveryClient | None = None
         self.classes = {c.name: c for c in settings.classes}
         # A report's figures by the settings' names, or by the interface's where they are the same thing.
         self.report_fields = tuple(zip(report_fields, settings.load_report_fields, strict=False))
         self.probe_path = b"/stats" if self.report_fields else b"/health/live"
         self.requests: dict[str, PendingRequest] = {}
-        self.open_requests = 0  # those without a final answer yet
+        self.open_request_count = 0  # those without a final answer yet
         self.events: deque[tuple[api.Event, PendingRequest | None]] = deque()
         self.scheduled = self.running = False
         self.counts: dict[str, int] = {}
@@ -52,7 +52,7 @@
 
     # Input: requests, discovery, and the ends of calls.
 
-    def invalid_reason(self, request: http1.Request) -> str | None:
+    def validation_error(self, request: http1.Request) -> str | None:
         """Why the request is invalid for its class; None where it is valid."""
         cls = self.classes.get(request.class_name)
         if cls is None:
@@ -71,9 +71,9 @@
 
     def at_capacity(self) -> bool:
         """Whether the site's limit on open requests is reached."""
-        return 0 < self.settings.limits.max_concurrent_requests <= self.open_requests
+        return 0 < self.settings.limits.max_concurrent_requests <= self.open_request_count
 
-    def request_arrived(self, request: http1.Request, caller: Caller) -> bool:
+    def accept_request(self, request: http1.Request, caller: Client) -> bool:
         """Accept a valid request; False where its id is already in the table."""
         if request.id in self.requests or request.left_ms is None:
             return False
@@ -83,7 +83,7 @@
         left -= self.clock.now() - request.read_ms
         pending = PendingRequest(request, caller, self.clock.now() + left)
         self.requests[request.id] = pending
-        self.open_requests += 1
+        self.open_request_count += 1
         pending.timer = self.loop.call_later(max(0.0, left) / 1000.0, self._deadline_reached, pending)
         self._enqueue(api.RequestArrived(
             request.id, request.class_name, left, request.account, request.repeat, request.sid,
@@ -98,7 +98,7 @@
             self._conclude(pending, "gone")
             self._enqueue(api.RequestAbandoned(request.id), pending)
 
-    def discovery_event(self, event: api.EndpointsListed | api.ListExpiryChanged) -> None:
+    def handle_discovery_event(self, event: api.EndpointsListed | api.ListExpiryChanged) -> None:
         """Process an event from discovery before all queued ones: a drain applies to each send after it.
 
         Attempts decided on a list that may not be used any more, and not wholly written yet, are aborted.
@@ -120,7 +120,7 @@
             attempt.timer.cancel()
         if outcome is api.Outcome.OK and response is not None and not pending.over:
             self._conclude(pending, "served")
-            pending.caller.answer(200, response.body, kind=response.kind)
+            pending.caller.answer(200, response.body, content_type=response.kind)
         self._count(outcome.value)
         self._enqueue(api.AttemptEnded(
             pending.request.id, attempt.number, outcome, now - attempt.started_ms, pending.over,
@@ -144,7 +144,7 @@
 
     def _deadline_reached(self, pending: PendingRequest) -> None:
         """Time out the live attempts at the request's deadline; the final answer is due now."""
-        early = pending.deadline_ms - self.clock.now()
+        early = pending.deadline_at_ms - self.clock.now()
         if early > TIMER_EARLY_MS:
             pending.timer = self.loop.call_later(early / 1000.0, self._deadline_reached, pending)
             return
@@ -164,13 +164,13 @@
         If not wholly written by then, it never runs: it had no connection, or the backend did not read.
         """
         if attempt.live:
-            outcome = api.Outcome.NOT_SENT if self.transport.unsent(attempt) else api.Outcome.TIMEOUT
-            self.transport.abort(attempt)
+            outcome = api.Outcome.NOT_SENT if self.pool.has_unwritten_data(attempt) else api.Outcome.TIMEOUT
+            self.pool.abort(attempt)
             self.attempt_ended(attempt, outcome, None)
 
     def _probe_time_out(self, probe: Probe) -> None:
         if probe.live:
-            self.transport.abort(probe)
+            self.pool.abort(probe)
             self.probe_ended(probe, api.Outcome.TIMEOUT, None)
 
     def _timer_fired(self, at_ms: float, token: str) -> None:
@@ -238,13 +238,13 @@
         elif isinstance(action, api.Probe):
             self._probe(action.endpoint)
         elif isinstance(action, api.WatchEndpoints):
-            if self.registry is not None:
-                self.registry.watch()
+            if self.discovery is not None:
+                self.discovery.watch()
         elif isinstance(action, api.FetchEndpoints):
-            if self.registry is not None:
-                self.registry.fetch()
+            if self.discovery is not None:
+                self.discovery.fetch()
         elif isinstance(action, api.CloseIdleConnections):
-            self.transport.close_idle(action.endpoint)
+            self.pool.close_idle(action.endpoint)
         else:
             log(action.message)
 
@@ -254,11 +254,11 @@
             self._enqueue(api.AttemptEnded(
                 action.request, 0, api.Outcome.NOT_SENT, 0.0, True, None, action.endpoint))
             return
-        until = pending.deadline_ms
+        until = pending.deadline_at_ms
         if action.timeout_ms:
             until = min(until, now + action.timeout_ms)
         if (pending.over or len(pending.attempts) >= self.settings.limits.max_attempts
-                or until <= now + TIMER_EARLY_MS or not self.transport.has_endpoint(action.endpoint)):
+                or until <= now + TIMER_EARLY_MS or not self.pool.has_endpoint(action.endpoint)):
             # Guards the rules on answers, effects and drains, whatever the module asks for.
             self._enqueue(api.AttemptEnded(
                 pending.request.id, len(pending.attempts), api.Outcome.NOT_SENT, 0.0, pending.over, None,
@@ -269,9 +269,9 @@
         attempt = Attempt(self, pending, action.endpoint, now, until, now + action.send_within_ms)
         pending.attempts.append(attempt)
         pending.live_attempts += 1
-        if until < pending.deadline_ms - TIMER_EARLY_MS:  # else the request's own timer ends it
+        if until < pending.deadline_at_ms - TIMER_EARLY_MS:  # else the request's own timer ends it
             attempt.timer = self.loop.call_later((until - now) / 1000.0, self._time_out, attempt)
-        self.transport.start(attempt)
+        self.pool.start(attempt)
 
     def _cancel(self, action: api.Cancel) -> None:
         pending = self.requests.get(action.request)
@@ -279,17 +279,17 @@
             return
         attempt = pending.attempts[action.attempt]
         if attempt is not None and attempt.live:
-            self.transport.abort(attempt)
+            self.pool.abort(attempt)
             self.attempt_ended(attempt, api.Outcome.CANCELLED, None)
 
     def _probe(self, endpoint: str) -> None:
         now = self.clock.now()
-        if not self.transport.has_endpoint(endpoint):
+        if not self.pool.has_endpoint(endpoint):
             self._enqueue(api.ProbeEnded(endpoint, api.Outcome.NOT_SENT, 0.0))
             return
         probe = Probe(self, endpoint, b"GET %b HTTP/1.1\r\n" % self.probe_path, now, now + PROBE_TIMEOUT_MS)
         probe.timer = self.loop.call_later(PROBE_TIMEOUT_MS / 1000.0, self._probe_time_out, probe)
-        self.transport.start(probe)
+        self.pool.start(probe)
 
     def _give_up(
         self, action: api.Refuse | api.Fail, status: int, how: str, retry_after_ms: float = 0.0,
@@ -315,15 +315,15 @@
         Guards against attempts sent for a request that is over, once their connection has come up.
         """
         pending.over = True
-        self.open_requests -= 1
+        self.open_request_count -= 1
         self._count(how)
         self._abort_unsent(pending)
 
     def _abort_unsent(self, pending: PendingRequest) -> None:
         """Abort the attempts that are not wholly written yet."""
         for attempt in pending.attempts:
-            if attempt is not None and attempt.live and self.transport.unsent(attempt):
-                self.transport.abort(attempt)
+            if attempt is not None and attempt.live and self.pool.has_unwritten_data(attempt):
+                self.pool.abort(attempt)
                 self.attempt_ended(attempt, api.Outcome.NOT_SENT, None)
 
     def _remove(self, pending: PendingRequest) -> None:
--- a/honeywharf/net/upstream.py
+++ b/honeywharf/net/upstream.py
@@ -93,7 +93,7 @@
         if connection is not None:
             connection.carry(call)
             return
-        call.waiting = True
+        call.awaiting_connection = True
         backend.waiting[call] = self.loop.call_later(
             self.connect_timeout_s, self._waited_too_long, call, backend)
         self._serve_when_settled(backend)
@@ -102,20 +102,20 @@
     def abort(self, call: Call) -> None:
         """Abort the call: closing its connection is how the backend learns of it."""
         connection, call.connection = call.connection, None
-        if call.waiting:
+        if call.awaiting_connection:
             self._stop_waiting(call, self.backends[call.endpoint])
         elif isinstance(connection, Connection):
             connection.call = None
             connection.drop()
 
-    def unsent(self, call: Call) -> bool:
+    def has_unwritten_data(self, call: Call) -> bool:
         """Whether part of the call is not written yet: aborted now, it never runs."""
         connection = call.connection
-        return call.waiting or (isinstance(connection, Connection) and connection.unsent)
+        return call.awaiting_connection or (isinstance(connection, Connection) and connection.unsent)
 
     def fail_unsent(self, call: Call, outcome: api.Outcome) -> None:
         """End a call of which nothing was written."""
-        call.ended(outcome, None)
+        call.complete(outcome, None)
 
     def _take_idle(self, backend: Backend) -> Connection | None:
         """The connection used last, of those that have settled and are still good."""
@@ -133,7 +133,7 @@
 
     def _stop_waiting(self, call: Call, backend: Backend) -> None:
         backend.waiting.pop(call).cancel()
-        call.waiting = False
+        call.awaiting_connection = False
 
     def _fail_waiting(self, call: Call, backend: Backend, outcome: api.Outcome) -> None:
         """End a call of which nothing has left. Its end never comes from within `start`."""
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -276,7 +276,7 @@
         self.outcomes: list[api.Outcome] = []
         self.finished = asyncio.Event()
 
-    def ended(self, outcome: api.Outcome, response: http1.Response | None) -> None:
+    def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
         self.outcomes.append(outcome)
         self.response_body = response.body if response is not None else b""
         self.finished.set()
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -114,7 +114,7 @@
             client.send(*[f"r{i}" for i in range(request_count)])
             await wait_until_finished(harness, 1 + request_count)
             assert (len(backend.requests), backend.connection_count) == (1 + sent, 1)
-            assert harness.proxy.driver.open_requests == 0
+            assert harness.proxy.driver.open_request_count == 0
         await backend.stop()
     run_with_timeout(main())
 
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -103,7 +103,7 @@
             for writer in list(backend.writers):
                 writer.write(make_response())
             await wait_until(
-                lambda: not harness.proxy.driver.requests and harness.proxy.driver.open_requests == 0
+                lambda: not harness.proxy.driver.requests and harness.proxy.driver.open_request_count == 0
             )
         await backend.stop()
     run_with_timeout(main())
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -87,7 +87,7 @@
     def abort(self, call: Call) -> None:
         self.aborted.append(call)
 
-    def unsent(self, call: Call) -> bool:
+    def has_unwritten_data(self, call: Call) -> bool:
         return call in self.opening
 
     def close_idle(self, endpoint: str) -> None:
@@ -112,12 +112,12 @@
             self.inside = False
 
 
-class FakeCaller:
+class FakeClient:
     def __init__(self) -> None:
         self.answers: list[tuple[int, bytes, float]] = []
 
     def answer(
-        self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, kind: bytes = b"",
+        self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
     ) -> None:
         self.answers.append((status, body, retry_after_ms))
 
@@ -134,12 +134,12 @@
             ("pending", "busy_reqs"))
         self.count = 0
 
-    def arrive(self, left_ms: float = 1000.0) -> tuple[http1.Request, FakeCaller]:
+    def arrive(self, left_ms: float = 1000.0) -> tuple[http1.Request, FakeClient]:
         self.count += 1
-        request, caller = http1.Request(), FakeCaller()
+        request, caller = http1.Request(), FakeClient()
         request.id, request.class_name, request.left_ms = f"r{self.count}", "order", left_ms
         request.method, request.target, request.read_ms = b"POST", b"/api", self.clock.ms
-        assert self.driver.request_arrived(request, caller)
+        assert self.driver.accept_request(request, caller)
         self.loop.turn()
         return request, caller
 
@@ -187,13 +187,13 @@
     bench.clock.ms += 15.0
     bench.transport.started[0].written_ms = bench.clock.ms
     bench.clock.ms += 25.0
-    bench.transport.started[0].ended(Outcome.OK, ok())
+    bench.transport.started[0].complete(Outcome.OK, ok())
     assert caller.answers == [(200, b"tile", 0.0)]
     bench.loop.turn()
     (event,) = bench.events(api.AttemptEnded)
     assert event == api.AttemptEnded("r1", 0, Outcome.OK, 40.0, True, None, "b1", time_to_send_ms=15.0)
     assert bench.driver.requests == {}
-    assert bench.driver.open_requests == 0
+    assert bench.driver.open_request_count == 0
 
 
 def test_events_come_one_at_a_time_and_actions_do_not_re_enter(bench: Bench) -> None:
@@ -260,7 +260,7 @@
     bench.script.on = on
     _, caller = bench.arrive(1000.0)
     held = bench.driver.requests["r1"]
-    bench.clock.ms = held.deadline_ms - 0.5  # the timer comes a little early
+    bench.clock.ms = held.deadline_at_ms - 0.5  # the timer comes a little early
     bench.driver._deadline_reached(held)
     bench.loop.turn()
     assert [call.endpoint for call in bench.transport.started] == ["b1"]
@@ -269,10 +269,10 @@
 
 
 def test_the_time_that_passed_since_the_request_was_read_counts(bench: Bench) -> None:
-    request, caller = http1.Request(), FakeCaller()
+    request, caller = http1.Request(), FakeClient()
     request.id, request.class_name, request.left_ms = "r9", "order", 1000.0
     request.read_ms = bench.clock.ms - 300.0  # it waited behind another one on its connection
-    assert bench.driver.request_arrived(request, caller)
+    assert bench.driver.accept_request(request, caller)
     bench.loop.turn()
     (event,) = bench.events(api.RequestArrived)
     assert isinstance(event, api.RequestArrived)
@@ -292,7 +292,7 @@
         return [api.Send(event.id, "b1", 80.0)] if isinstance(event, api.RequestArrived) else []
     bench.script.on = on
     _, caller = bench.arrive(1000.0)
-    assert bench.transport.started[0].until_ms == bench.clock.ms + 80.0
+    assert bench.transport.started[0].deadline_at_ms == bench.clock.ms + 80.0
     bench.loop.advance(90.0)
     assert bench.outcomes() == [(0, Outcome.TIMEOUT, False)]
     assert caller.answers == []
@@ -304,7 +304,7 @@
     bench.driver.client_disconnected(request)
     bench.loop.turn()
     assert bench.transport.aborted == []
-    bench.transport.started[0].ended(Outcome.OK, ok())
+    bench.transport.started[0].complete(Outcome.OK, ok())
     bench.loop.turn()
     assert caller.answers == []
     assert bench.outcomes() == [(0, Outcome.OK, True)]
@@ -326,9 +326,9 @@
             event, api.RequestArrived) else []
     bench.script.on = on
     _, caller = bench.arrive()
-    bench.transport.started[1].ended(Outcome.OK, ok(b"second"))
+    bench.transport.started[1].complete(Outcome.OK, ok(b"second"))
     bench.loop.turn()
-    bench.transport.started[0].ended(Outcome.OK, ok(b"first"))
+    bench.transport.started[0].complete(Outcome.OK, ok(b"first"))
     bench.loop.turn()
     assert caller.answers == [(200, b"second", 0.0)]
     assert bench.outcomes() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
@@ -346,12 +346,12 @@
     if how == "gone":
         bench.driver.client_disconnected(request)
     elif how == "answered":
-        sent.ended(Outcome.OK, ok())
+        sent.complete(Outcome.OK, ok())
     else:
         bench.driver.fail_open_requests()
     bench.loop.turn()
     assert bench.transport.aborted == [opening]
-    sent.ended(Outcome.OK, ok())
+    sent.complete(Outcome.OK, ok())
     bench.loop.turn()
     assert set(bench.outcomes()) == {(0, Outcome.OK, True), (1, Outcome.NOT_SENT, True)}
     assert len(caller.answers) == (how != "gone")
@@ -388,7 +388,7 @@
     _, first = bench.arrive()
     _, second = bench.arrive()
     assert first.answers == [(502, b"", 0.0)]
-    bench.transport.started[0].ended(Outcome.OK, ok())
+    bench.transport.started[0].complete(Outcome.OK, ok())
     assert second.answers == [(200, b"tile", 0.0)]
     assert "broken" in capsys.readouterr().err
 
@@ -400,7 +400,7 @@
         return send_each(event)
     bench.script.on = on
     _, caller = bench.arrive()
-    bench.transport.started[0].ended(Outcome.RESET, None)
+    bench.transport.started[0].complete(Outcome.RESET, None)
     bench.loop.turn()
     assert caller.answers == [(502, b"", 0.0)]
     assert bench.driver.requests == {}
@@ -413,7 +413,7 @@
         return send_each(event)
     bench.script.on = on
     _, caller = bench.arrive()
-    bench.transport.started[0].ended(Outcome.OK, ok())  # answered before the module is told
+    bench.transport.started[0].complete(Outcome.OK, ok())  # answered before the module is told
     bench.loop.turn()
     assert caller.answers == [(200, b"tile", 0.0)]
     assert bench.events(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
@@ -427,7 +427,7 @@
     try:
         request, _ = bench.arrive()
         held = weakref.ref(bench.driver.requests[request.id].attempts[0])
-        bench.transport.started.pop().ended(Outcome.OK, ok())
+        bench.transport.started.pop().complete(Outcome.OK, ok())
         bench.loop.turn()
         bench.loop.timers.clear()
         assert bench.driver.requests == {}
@@ -437,10 +437,10 @@
 
 
 def test_word_from_discovery_goes_before_what_waits(bench: Bench) -> None:
-    request, caller = http1.Request(), FakeCaller()
+    request, caller = http1.Request(), FakeClient()
     request.id, request.class_name, request.left_ms, request.read_ms = "r1", "order", 1000.0, bench.clock.ms
-    bench.driver.request_arrived(request, caller)
-    bench.driver.discovery_event(api.EndpointsListed(api.ListKind.CHANGES))
+    bench.driver.accept_request(request, caller)
+    bench.driver.handle_discovery_event(api.EndpointsListed(api.ListKind.CHANGES))
     bench.loop.turn()
     assert [type(e) for _, e in bench.script.seen] == [api.EndpointsListed, api.RequestArrived]
 
@@ -470,7 +470,7 @@
     bench.driver._timer_fired(0.0, "t")
     bench.loop.turn()
     response = ok(b"pending=1,busy_reqs=2")
-    bench.transport.started[0].ended(Outcome.OK, response)
+    bench.transport.started[0].complete(Outcome.OK, response)
     bench.loop.advance(1000.0)
     found = [
         (e.endpoint, e.outcome, e.load_report)
@@ -481,8 +481,8 @@
 
 def test_an_id_in_the_table_is_not_taken_twice(bench: Bench) -> None:
     request, _ = bench.arrive()
-    assert not bench.driver.request_arrived(request, FakeCaller())
-    assert bench.driver.open_requests == 1
+    assert not bench.driver.accept_request(request, FakeClient())
+    assert bench.driver.open_request_count == 1
 
 
 def test_the_bound_on_open_requests(bench: Bench) -> None:
@@ -510,7 +510,7 @@
         request, caller = bench.arrive(choice.uniform(0.0, 300.0))
         callers.append((request.id, caller))
         for call in choice.sample(bench.transport.started[-5:], k=min(2, len(bench.transport.started))):
-            call.ended(
+            call.complete(
                 choice.choice(
                     [Outcome.OK, Outcome.RESET, Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED]
                 ),
@@ -524,6 +524,6 @@
         bench.loop.advance(choice.uniform(0.0, 20.0))
     bench.loop.advance(1000.0)
     assert bench.driver.requests == {}
-    assert bench.driver.open_requests == 0
+    assert bench.driver.open_request_count == 0
     for name, caller in callers:
         assert len(caller.answers) == (0 if name in left else 1)
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -188,7 +188,7 @@
             pool.start(call)
             peer, _ = await with_timeout(loop.sock_accept(deaf))
             await wait_until(lambda: call.connection is not None)
-            assert pool.unsent(call)
+            assert pool.has_unwritten_data(call)
             peer.close()
             await with_timeout(call.finished.wait())
             assert call.outcomes == [Outcome.CONNECT_FAILED]
@@ -229,14 +229,14 @@
             pool.start(call)
             peer, _ = await with_timeout(loop.sock_accept(listener))
             await wait_until(lambda: call.connection is not None)
-            assert pool.unsent(call)
+            assert pool.has_unwritten_data(call)
             peer.setblocking(True)
             peer.settimeout(0.2)
             came = b""
             with suppress(TimeoutError):  # the loop stands still: what it has not written waits
                 while data := peer.recv(65536):
                     came += data
-            assert pool.unsent(call)
+            assert pool.has_unwritten_data(call)
             pool.abort(call)
             await asyncio.sleep(0)
             peer.setblocking(False)
