--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -31,11 +31,11 @@
 UPSTREAM_SHARE = 2 / 5
 ACCEPT_S = 0.6  # after SIGTERM: the front sends new connections for up to 0.4 s, and a busy machine runs late
 LAST_CALL_S = 0.5  # then, for connections that came and have not sent their request
-KILL_AFTER_MS = 3000.0  # SIGKILL comes 0.7 s after this, or the longest deadline if less, at the soonest
+MAX_DRAIN_MS = 3000.0  # SIGKILL comes 0.7 s after this, or the longest deadline if less, at the soonest
 BEFORE_KILL_S = 0.45  # so long after that time, what is still open is answered
 LEAVE_S = 0.05  # then the process ends,
-LEAVE_LATEST_MS = 150.0  # or at this time at the latest, where callers are slow to take their answers off
-READY_S = 5.0  # for a first list: restarts have to be ready within 10 s, on a busy machine too
+MAX_FLUSH_MS = 150.0  # or at this time at the latest, where callers are slow to take their answers off
+FIRST_LIST_TIMEOUT_S = 5.0  # for a first list: restarts have to be ready within 10 s, on a busy machine too
 STATS_S = 5.0
 
 
@@ -44,9 +44,9 @@
 
     def __init__(self, conf: config.Config, loop: asyncio.AbstractEventLoop) -> None:
         self.conf, self.loop, self.clock = conf, loop, Clock()
-        sockets = min(conf.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        room = sockets - min(max(OWN_LEAST, int(sockets * OWN_SHARE)), sockets // 2)
-        upstream = min(int(sockets * UPSTREAM_SHARE), room // 2)
+        max_sockets = min(conf.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        room = max_sockets - min(max(OWN_LEAST, int(max_sockets * OWN_SHARE)), max_sockets // 2)
+        upstream = min(int(max_sockets * UPSTREAM_SHARE), room // 2)
         self.pool = Pool(loop, self.clock, conf.settings.limits, upstream)
         self.driver = Driver(
             conf.settings, Balancer(conf.settings, conf.seed), self.pool, loop, self.clock,
@@ -71,12 +71,12 @@
         for number in (signal.SIGTERM, signal.SIGINT):
             self.loop.add_signal_handler(number, self.drain)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
-        known = self.directory.apply(self.conf.known, api.ListKind.CACHED)
-        self.driver.start(replace(known, expires_at_ms=float("-inf")))  # until discovery has answered
+        cached_list = self.directory.apply(self.conf.cached_list, api.ListKind.CACHED)
+        self.driver.start(replace(cached_list, expires_at_ms=float("-inf")))  # until discovery has answered
         host, port = await self.frontend.listen(self.conf.listen)
         log(f"{self.conf.name} listens on {host}:{port}")
         self.watch.start()
-        self.loop.call_later(READY_S, self._be_ready)
+        self.loop.call_later(FIRST_LIST_TIMEOUT_S, self._on_first_list_timeout)
         self.loop.call_later(STATS_S, self._stats)
         gc.collect()
         gc.freeze()  # the collector need not look at what stays
@@ -94,7 +94,7 @@
         old, self.conf = self.conf, replace(self.conf, discovery=conf.discovery)
         if conf.discovery != old.discovery:
             log(f"reload: discovery is at {conf.discovery[0]}:{conf.discovery[1]}")
-        if (conf.listen, conf.sockets, conf.settings) != (old.listen, old.sockets, old.settings):
+        if (conf.listen, conf.max_sockets, conf.settings) != (old.listen, old.max_sockets, old.settings):
             log("reload: listen, limits and settings are taken over at the next start")
         self.watch.change_address(conf.discovery)
 
@@ -107,26 +107,26 @@
         self.frontend.drain()
         longest = max(c.deadline_ms for c in self.conf.settings.classes)
         self.loop.call_later(ACCEPT_S, self._close_listener)
-        self.loop.call_later(min(longest, KILL_AFTER_MS) / 1000.0 + BEFORE_KILL_S, self._cut_off)
+        self.loop.call_later(min(longest, MAX_DRAIN_MS) / 1000.0 + BEFORE_KILL_S, self._fail_open_requests)
 
     def _close_listener(self) -> None:
         self.frontend.stop_listening(self.stopped.set)
         self.loop.call_later(LAST_CALL_S, self.frontend.close_idle)
 
-    def _cut_off(self) -> None:
+    def _fail_open_requests(self) -> None:
         """What is still open is answered before the process is killed, and so is what comes from now on."""
         self.frontend.refusing = True
         self.driver.fail_open_requests()
-        self.loop.call_later(LEAVE_S, self._leave, self.clock.now() + LEAVE_LATEST_MS)
+        self.loop.call_later(LEAVE_S, self._stop_when_flushed, self.clock.now() + MAX_FLUSH_MS)
 
-    def _leave(self, latest_ms: float) -> None:
+    def _stop_when_flushed(self, latest_ms: float) -> None:
         """End once the answers have left. Guards against taking the rest of one along."""
         if self.frontend.has_unwritten_data() and self.clock.now() < latest_ms:
-            self.loop.call_later(LEAVE_S / 5, self._leave, latest_ms)
+            self.loop.call_later(LEAVE_S / 5, self._stop_when_flushed, latest_ms)
         else:
             self.stopped.set()
 
-    def _be_ready(self) -> None:
+    def _on_first_list_timeout(self) -> None:
         """Guards against a restart that takes as long as discovery is down, or its line is full."""
         self.waited = True
 
--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -125,7 +125,7 @@
             return
         self.call, call.connection = call, self
         call.written_ms = now = self.pool.clock.now()
-        left = b"" if call.probe else http1.time_left(call.until_ms - now)
+        left = b"" if call.probe else http1.time_left_header(call.until_ms - now)
         host = b"Host: %b\r\n" % self.backend.host if call.probe else b""
         self.transport.write(b"%b%b%b\r\n%b" % (call.head, host, left, call.body))
         if self.transport.is_closing():
@@ -141,12 +141,13 @@
             return
         try:
             response = self.reader.feed(data)
-        except http1.MalformedError:
+        except http1.MalformedMessageError:
             self._end(UNREADABLE_ANSWER, None)
             return
         if response is not None:
             reader = self.reader
-            reusable = response.keep and reader.idle and not reader.surplus and not self.unsent
+            reusable = (
+                response.keep_alive and reader.idle and not reader.has_trailing_data and not self.unsent)
             self._end(outcome_of(response), response, reusable=reusable)
             return
         self.heard_ms = self.pool.clock.now()
--- a/honeywharf/net/clock.py
+++ b/honeywharf/net/clock.py
@@ -8,7 +8,7 @@
 
 # The event loop may fire a timer early by so much. An attempt with less time left gets no answer, and the
 # request's timer, which would end it, may have fired already.
-TIMER_EARLY_MS = 1.0
+TIMER_TOLERANCE_MS = 1.0
 
 
 class Clock:
--- a/honeywharf/net/config.py
+++ b/honeywharf/net/config.py
@@ -26,13 +26,13 @@
     listen: Address
     discovery: Address
     seed: int
-    sockets: int
-    known: dict[str, Any]
+    max_sockets: int
+    cached_list: dict[str, Any]
     settings: api.Settings
     report_fields: tuple[str, ...]  # as the settings name them
 
 
-def address(text: object) -> Address:
+def parse_address(text: object) -> Address:
     """A `host:port` as a pair; ValueError where it is none."""
     if not isinstance(text, str):
         raise ValueError(f"an address is wanted, not {text!r}")
@@ -66,23 +66,23 @@
     settings = raw.get("settings")
     if not isinstance(settings, dict):
         raise ValueError("settings: an object is wanted")
-    known = raw.get("known", {"generation": 0, "instances": []})
-    if not isinstance(known, dict):
+    cached_list = raw.get("known", {"generation": 0, "instances": []})
+    if not isinstance(cached_list, dict):
         raise ValueError("known: an object is wanted")
     limits = raw.get("limits") or {}
-    sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else None
-    if isinstance(sockets, bool) or not isinstance(sockets, int) or sockets < 32:
+    max_sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else None
+    if isinstance(max_sockets, bool) or not isinstance(max_sockets, int) or max_sockets < 32:
         raise ValueError("limits.sockets: a whole number of at least 32 is wanted")
     report = settings.get("report")
     fields = report.get("fields") if isinstance(report, dict) else None
     typed = codec.decode_settings(settings)
     return Config(
         name=str(raw.get("name") or environ.get("NODE_NAME") or "proxy"),
-        listen=address(raw.get("listen") or environ.get("NODE_LISTEN")),
-        discovery=address(raw.get("discovery") or environ.get("NODE_DISCOVERY")),
+        listen=parse_address(raw.get("listen") or environ.get("NODE_LISTEN")),
+        discovery=parse_address(raw.get("discovery") or environ.get("NODE_DISCOVERY")),
         seed=_seed(raw.get("seed")),
-        sockets=sockets,
-        known=known,
+        max_sockets=max_sockets,
+        cached_list=cached_list,
         settings=typed,
         report_fields=tuple(fields) if isinstance(fields, list) else (),
     )
--- a/honeywharf/net/directory.py
+++ b/honeywharf/net/directory.py
@@ -5,7 +5,7 @@
 from typing import Any, NamedTuple
 
 from honeywharf import interface as api
-from honeywharf.net.config import Address, address
+from honeywharf.net.config import Address, parse_address
 from honeywharf.net.log import log
 from honeywharf.net.upstream import Pool
 
@@ -46,7 +46,7 @@
             endpoint_id, str(raw.get("zone", "")), state, cell, float(started) or None, float(weight),
             str(raw.get("machineType", "")),
         ),
-        NO_ADDRESS if removed and not host_port else address(host_port),
+        NO_ADDRESS if removed and not host_port else parse_address(host_port),
     )
 
 
--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -267,12 +267,12 @@
             log(f"discovery: {self._poll_figures(poll)}: {fault}")
             self._poll_for_full_list()
             return
-        except (http1.MalformedError, ValueError) as fault:
+        except (http1.MalformedMessageError, ValueError) as fault:
             self._count("polls failed")
             log(f"discovery: {self._poll_figures(poll)}: {fault}")
             self._poll_failed()
             return
-        self._poll_succeeded(poll, event, keep_alive=response.keep)
+        self._poll_succeeded(poll, event, keep_alive=response.keep_alive)
 
     def _answer_arrives(self, poll: Poll) -> None:
         """Part of an answer has come: what the rest says counts as told already."""
--- a/honeywharf/net/downstream.py
+++ b/honeywharf/net/downstream.py
@@ -18,7 +18,7 @@
 READY = b"/health/ready"
 CALLS = b"/api"
 MAX_PIPELINED = 8  # requests sent ahead on one connection, of so many bytes: clients send one at a time
-MAX_PIPELINED_BYTES = http1.MAX_BODY
+MAX_PIPELINED_BYTES = http1.MAX_REQUEST_BODY_BYTES
 SILENT_MS = 2000.0  # a connection on which nothing has come is closed then
 IDLE_MS = 6000.0  # and so is one that has been idle so long after an answer; where callers crowd, earlier:
 CROWDED_IDLE_MS = 2000.0
@@ -44,7 +44,7 @@
         self.current: http1.Request | None = None
         self.pipelined: deque[http1.Request] = deque()
         self.pipelined_bytes = 0
-        self.fault: http1.MalformedError | None = None
+        self.fault: http1.MalformedMessageError | None = None
         self.finished = False  # nothing more is read or answered here
         self.discarded_bytes = 0  # bytes that came after that
         self.group: dict[Connection, None] | None = None  # which of the frontend's groups it is in
@@ -70,11 +70,11 @@
         if self.fault is not None:
             return
         requests = self.reader.feed(data)
-        self.fault = self.reader.fault
+        self.fault = self.reader.error
         if requests:
             now = self.frontend.clock.now()
             for request in requests:
-                request.read_ms = now
+                request.received_ms = now
                 self.pipelined.append(request)
                 self.pipelined_bytes += len(request.body)
             if len(self.pipelined) > MAX_PIPELINED or (
@@ -115,9 +115,10 @@
         request, self.current = self.current, None
         if request is None or self.finished:
             return
-        keep = request.keep and not self.frontend.draining
-        self.transport.write(http1.answer(status, body, keep=keep, retry_after_ms=retry_after_ms, kind=kind))
-        if not keep:
+        keep_alive = request.keep_alive and not self.frontend.draining
+        self.transport.write(http1.format_response(
+            status, body, keep_alive=keep_alive, retry_after_ms=retry_after_ms, content_type=kind))
+        if not keep_alive:
             self._linger()
         elif self.pipelined or self.fault is not None:
             self.frontend.loop.call_soon(self._resume)
@@ -132,7 +133,7 @@
         """Answer an invalid request, and read no more."""
         if self.finished:
             return
-        self.transport.write(http1.answer(status, keep=False))
+        self.transport.write(http1.format_response(status, keep_alive=False))
         self._linger()
 
     def _linger(self) -> None:
--- a/honeywharf/net/driver.py
+++ b/honeywharf/net/driver.py
@@ -13,7 +13,7 @@
 from honeywharf.net import http1
 from honeywharf.net.attempts import Attempt, PendingRequest, Probe
 from honeywharf.net.calls import Caller, Registry, Transport
-from honeywharf.net.clock import TIMER_EARLY_MS, Clock, Loop
+from honeywharf.net.clock import TIMER_TOLERANCE_MS, Clock, Loop
 from honeywharf.net.log import log
 
 # The final answer has to be on its way before the client gives up: its time ran from its sending, so part of
@@ -59,7 +59,7 @@
             return "unknown class"
         if not request.id:
             return "no id"
-        if request.left_ms is None:
+        if request.time_left_ms is None:
             return "no time left"
         if request.method != (b"GET" if cls.idempotency is api.Idempotency.REPEATABLE else b"POST"):
             return "a method that is not the class's"
@@ -75,19 +75,20 @@
 
     def request_arrived(self, request: http1.Request, caller: Caller) -> bool:
         """Accept a valid request; False where its id is already in the table."""
-        if request.id in self.requests or request.left_ms is None:
+        if request.id in self.requests or request.time_left_ms is None:
             return False
         # Guards against a time left of years: no client of the class waits longer than its deadline.
         longest = self.classes[request.class_name].deadline_ms
-        left = max(0.0, min(request.left_ms, longest) - ANSWER_MARGIN_MS)
-        left -= self.clock.now() - request.read_ms
+        left = max(0.0, min(request.time_left_ms, longest) - ANSWER_MARGIN_MS)
+        left -= self.clock.now() - request.received_ms
         pending = PendingRequest(request, caller, self.clock.now() + left)
         self.requests[request.id] = pending
         self.open_requests += 1
         pending.timer = self.loop.call_later(max(0.0, left) / 1000.0, self._deadline_reached, pending)
         self._enqueue(api.RequestArrived(
-            request.id, request.class_name, left, request.account, request.repeat, request.sid,
-            http1.pairs(request.facts).get("isWrite", 0.0) > 0 if request.facts else False, request.hint_ms,
+            request.id, request.class_name, left, request.account, request.is_retry, request.session_id,
+            http1.parse_named_numbers(request.facts).get("isWrite", 0.0) > 0 if request.facts else False,
+            request.work_hint_ms,
         ), pending)
         return True
 
@@ -120,11 +121,11 @@
             attempt.timer.cancel()
         if outcome is api.Outcome.OK and response is not None and not pending.over:
             self._conclude(pending, "served")
-            pending.caller.answer(200, response.body, kind=response.kind)
+            pending.caller.answer(200, response.body, kind=response.content_type)
         self._count(outcome.value)
         self._enqueue(api.AttemptEnded(
             pending.request.id, attempt.number, outcome, now - attempt.started_ms, pending.over,
-            self._load_report(response.load) if response is not None else None, attempt.endpoint,
+            self._load_report(response.load_report) if response is not None else None, attempt.endpoint,
             (now if attempt.written_ms is None else attempt.written_ms) - attempt.started_ms,
         ), pending)
 
@@ -137,7 +138,7 @@
             probe.timer.cancel()
         report = None
         if response is not None:
-            report = self._load_report(response.load or response.body)
+            report = self._load_report(response.load_report or response.body)
         self._enqueue(api.ProbeEnded(probe.endpoint, outcome, self.clock.now() - probe.started_ms, report))
 
     # Timers.
@@ -145,7 +146,7 @@
     def _deadline_reached(self, pending: PendingRequest) -> None:
         """Time out the live attempts at the request's deadline; the final answer is due now."""
         early = pending.deadline_ms - self.clock.now()
-        if early > TIMER_EARLY_MS:
+        if early > TIMER_TOLERANCE_MS:
             pending.timer = self.loop.call_later(early / 1000.0, self._deadline_reached, pending)
             return
         for attempt in pending.attempts:
@@ -258,7 +259,7 @@
         if action.timeout_ms:
             until = min(until, now + action.timeout_ms)
         if (pending.over or len(pending.attempts) >= self.settings.limits.max_attempts
-                or until <= now + TIMER_EARLY_MS or not self.transport.has_endpoint(action.endpoint)):
+                or until <= now + TIMER_TOLERANCE_MS or not self.transport.has_endpoint(action.endpoint)):
             # Guards the rules on answers, effects and drains, whatever the module asks for.
             self._enqueue(api.AttemptEnded(
                 pending.request.id, len(pending.attempts), api.Outcome.NOT_SENT, 0.0, pending.over, None,
@@ -269,7 +270,7 @@
         attempt = Attempt(self, pending, action.endpoint, now, until, now + action.send_within_ms)
         pending.attempts.append(attempt)
         pending.live_attempts += 1
-        if until < pending.deadline_ms - TIMER_EARLY_MS:  # else the request's own timer ends it
+        if until < pending.deadline_ms - TIMER_TOLERANCE_MS:  # else the request's own timer ends it
             attempt.timer = self.loop.call_later((until - now) / 1000.0, self._time_out, attempt)
         self.transport.start(attempt)
 
@@ -340,6 +341,6 @@
         """Parse a load report into the settings' order; None where it is missing, or lacks a figure."""
         if not load or not self.report_fields:
             return None
-        figures = http1.pairs(load)
+        figures = http1.parse_named_numbers(load)
         row = [figures.get(told, figures.get(own)) for told, own in self.report_fields]
         return None if None in row else tuple(x for x in row if x is not None)
--- a/honeywharf/net/http1.py
+++ b/honeywharf/net/http1.py
@@ -7,7 +7,7 @@
 
 import httptools
 
-MAX_BODY = 64 * 1024  # of a request
+MAX_REQUEST_BODY_BYTES = 64 * 1024  # of a request
 # Of an answer. The protocol says 64 KiB; good answers of 400 KB have been seen. What is said to be longer is
 # spoilt. Could hurt where many long ones come at once: the pool bounds what they hold together.
 MAX_ANSWER = 1024 * 1024
@@ -32,7 +32,7 @@
 _SID = re.compile(rb"(?:^|;)\s*sid=([^;\s]*)")
 
 
-class MalformedError(Exception):
+class MalformedMessageError(Exception):
     """A message that is not what the protocol allows; `status` is the answer to it."""
 
     def __init__(self, status: int, words: str) -> None:
@@ -40,7 +40,7 @@
         self.status = status
 
 
-def duration(value: bytes) -> float | None:
+def parse_duration_ms(value: bytes) -> float | None:
     """`480m` or `480000u` in milliseconds; None where it makes no sense."""
     match = _DURATION.fullmatch(value.strip())
     if match is None:
@@ -49,12 +49,12 @@
     return figure if match[2] == b"m" else figure / 1000.0
 
 
-def time_left(ms: float) -> bytes:
+def time_left_header(ms: float) -> bytes:
     """The header that tells a backend how long it has."""
     return b"X-Time-Left: %du\r\n" % max(0, int(ms * 1000.0))
 
 
-def figure(value: bytes) -> float | None:
+def parse_number(value: bytes) -> float | None:
     """A number of the usual form, not negative; None where it is none.
 
     Guards against what `float` would take: `nan`, `inf`, `1_0`, and figures that no load has.
@@ -62,12 +62,12 @@
     return float(value) if _FIGURE.fullmatch(value.strip()) else None
 
 
-def pairs(value: bytes) -> dict[str, float]:
+def parse_named_numbers(value: bytes) -> dict[str, float]:
     """`name=value,name=value` as numbers; what is none is left out."""
     found: dict[str, float] = {}
     for item in value.split(b",", MOST_PAIRS)[:MOST_PAIRS]:
         name, _, text = item.partition(b"=")
-        number = figure(text)
+        number = parse_number(text)
         if number is not None:
             found[name.strip().decode("latin-1")] = number
     return found
@@ -79,16 +79,17 @@
     return value.isdigit() and (len(value) > 18 or int(value) > most)
 
 
-def answer(
-    status: int, body: bytes = b"", *, keep: bool = True, retry_after_ms: float = 0.0, kind: bytes = b"",
+def format_response(
+    status: int, body: bytes = b"", *, keep_alive: bool = True, retry_after_ms: float = 0.0,
+    content_type: bytes = b"",
 ) -> bytes:
     """A whole answer to a caller."""
     head = b"HTTP/1.1 %d %b\r\nContent-Length: %d\r\n" % (status, REASONS.get(status, b"Answer"), len(body))
-    if kind:
-        head += b"Content-Type: %b\r\n" % kind
+    if content_type:
+        head += b"Content-Type: %b\r\n" % content_type
     if retry_after_ms > 0:
         head += b"Retry-After: %.3f\r\n" % (retry_after_ms / 1000.0)
-    if not keep:
+    if not keep_alive:
         head += b"Connection: close\r\n"
     return head + b"\r\n" + body
 
@@ -97,20 +98,21 @@
     """A caller's request, read to its last byte."""
 
     __slots__ = (
-        "account", "body", "class_name", "expects", "facts", "forwarded", "hint_ms", "id", "idempotency_key",
-        "keep", "left_ms", "method", "read_ms", "repeat", "sid", "target",
+        "account", "body", "class_name", "expects_continue", "facts", "forwarded", "id", "idempotency_key",
+        "is_retry", "keep_alive", "method", "received_ms", "session_id", "target", "time_left_ms",
+        "work_hint_ms",
     )
 
     def __init__(self) -> None:
         self.method = self.target = self.body = b""
         self.forwarded: list[bytes] = []  # header lines that go on to the backend
-        self.id = self.class_name = self.account = self.sid = ""
+        self.id = self.class_name = self.account = self.session_id = ""
         self.idempotency_key = self.facts = b""
-        self.left_ms: float | None = None
-        self.hint_ms: float | None = None
-        self.repeat = self.expects = False
-        self.keep = True
-        self.read_ms = 0.0  # when its last byte had come, on the proxy's clock
+        self.time_left_ms: float | None = None
+        self.work_hint_ms: float | None = None
+        self.is_retry = self.expects_continue = False
+        self.keep_alive = True
+        self.received_ms = 0.0  # when its last byte had come, on the proxy's clock
 
     def head(self) -> bytes:
         """Its head for a backend, up to the time left."""
@@ -120,18 +122,18 @@
         return b"".join(lines)
 
 
-NONE = Request()  # between messages
+NO_REQUEST = Request()  # between messages
 
 
 def _id(request: Request, value: bytes) -> None:
     if request.id or not _ID.fullmatch(value):
-        raise MalformedError(400, "two ids, or one of odd characters")
+        raise MalformedMessageError(400, "two ids, or one of odd characters")
     request.id = value.decode("latin-1")
 
 
 def _class(request: Request, value: bytes) -> None:
     if request.class_name:
-        raise MalformedError(400, "two classes")
+        raise MalformedMessageError(400, "two classes")
     request.class_name = value.decode("latin-1")
 
 
@@ -142,28 +144,28 @@
 def _cookie(request: Request, value: bytes) -> None:
     match = _SID.search(value)
     if match is not None:
-        request.sid = match[1].decode("latin-1")
+        request.session_id = match[1].decode("latin-1")
 
 
 def _left(request: Request, value: bytes) -> None:
-    again, request.left_ms = request.left_ms is not None, duration(value)
-    if again or request.left_ms is None:
-        raise MalformedError(400, "senseless time left")
+    again, request.time_left_ms = request.time_left_ms is not None, parse_duration_ms(value)
+    if again or request.time_left_ms is None:
+        raise MalformedMessageError(400, "senseless time left")
 
 
 def _repeat(request: Request, value: bytes) -> None:
-    request.repeat = value.strip() == b"1"
+    request.is_retry = value.strip() == b"1"
 
 
 def _idempotency(request: Request, value: bytes) -> None:
     if request.idempotency_key:
-        raise MalformedError(400, "two idempotency keys")
+        raise MalformedMessageError(400, "two idempotency keys")
     request.idempotency_key = value
 
 
 def _hint(request: Request, value: bytes) -> None:
-    hint = figure(value)
-    request.hint_ms = None if hint is None else hint / 1000.0
+    hint = parse_number(value)
+    request.work_hint_ms = None if hint is None else hint / 1000.0
 
 
 def _facts(request: Request, value: bytes) -> None:
@@ -171,7 +173,7 @@
 
 
 def _expect(request: Request, value: bytes) -> None:
-    request.expects = value.strip().lower() == b"100-continue"
+    request.expects_continue = value.strip().lower() == b"100-continue"
 
 
 HEADERS: dict[bytes, Callable[[Request, bytes], None]] = {
@@ -203,12 +205,12 @@
     def _count(self, size: int) -> None:
         self.head_bytes += size
         if self.head_bytes > MAX_HEAD:
-            raise MalformedError(431, "the head is too long")
+            raise MalformedMessageError(431, "the head is too long")
 
     def on_body(self, data: bytes) -> None:
         self.body_bytes += len(data)
         if self.body_bytes > self.max_body:
-            raise MalformedError(413, "the body is too long")
+            raise MalformedMessageError(413, "the body is too long")
         self.parts.append(data)
 
     def close(self) -> None:
@@ -224,12 +226,12 @@
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserUpgrade:
-            raise MalformedError(400, "no upgrades here") from None
+            raise MalformedMessageError(400, "no upgrades here") from None
         except httptools.HttpParserError as fault:
             cause: BaseException | None = fault
-            while cause is not None and not isinstance(cause, MalformedError):
+            while cause is not None and not isinstance(cause, MalformedMessageError):
                 cause = cause.__cause__ or cause.__context__
-            raise cause or MalformedError(400, str(fault)) from None
+            raise cause or MalformedMessageError(400, str(fault)) from None
         if self.in_head:  # guards against a head whose one line never ends: the parser keeps it unseen
             self._count(len(data))
 
@@ -238,19 +240,19 @@
     """Turns what one caller sends into requests."""
 
     def __init__(self, on_continue: Callable[[], None]) -> None:
-        super().__init__(MAX_BODY)
+        super().__init__(MAX_REQUEST_BODY_BYTES)
         self.on_continue = on_continue
         self.parser: httptools.HttpRequestParser = httptools.HttpRequestParser(self)
-        self.request = NONE
+        self.request = NO_REQUEST
         self.done: list[Request] = []
-        self.fault: MalformedError | None = None
+        self.error: MalformedMessageError | None = None
 
     def feed(self, data: bytes) -> list[Request]:
         """The requests whose last byte has come with these; `fault` is what is wrong with the rest."""
         try:
             self._feed(data)
-        except MalformedError as fault:
-            self.fault = fault
+        except MalformedMessageError as error:
+            self.error = error
         done, self.done = self.done, []
         return done
 
@@ -273,10 +275,10 @@
             take(self.request, value)
         if key == b"content-length":
             if too_long(value, self.max_body):
-                raise MalformedError(413, "the body is too long")
+                raise MalformedMessageError(413, "the body is too long")
         elif key == b"transfer-encoding":
             if value.strip().lower() != b"chunked":  # the parser lets others pass
-                raise MalformedError(400, "an odd transfer coding")
+                raise MalformedMessageError(400, "an odd transfer coding")
         elif key in PASSED:
             self.request.forwarded.append(b"%b: %b\r\n" % (name, value))
 
@@ -286,30 +288,30 @@
         request = self.request
         request.method = self.parser.get_method()
         if request.method not in METHODS or self.parser.get_http_version() not in ("1.1", "1.0"):
-            raise MalformedError(400, "not HTTP/1, or an odd method")
-        if request.expects:
+            raise MalformedMessageError(400, "not HTTP/1, or an odd method")
+        if request.expects_continue:
             self.on_continue()
 
     def on_message_complete(self) -> None:
         """The message is whole."""
-        request, self.request, self.in_body = self.request, NONE, False  # an idle connection keeps none
+        request, self.request, self.in_body = self.request, NO_REQUEST, False  # an idle connection keeps none
         request.body, self.parts = self.body(), []
-        request.keep = self.parser.should_keep_alive() and self.parser.get_http_version() == "1.1"
+        request.keep_alive = self.parser.should_keep_alive() and self.parser.get_http_version() == "1.1"
         self.done.append(request)
 
 
 class Response:
     """A backend's or discovery's answer, whole."""
 
-    __slots__ = ("body", "keep", "kind", "load", "status", "unprocessed")
+    __slots__ = ("body", "content_type", "keep_alive", "load_report", "status", "unprocessed")
 
     def __init__(self) -> None:
         self.status = 0
         self.unprocessed = False
-        self.load: bytes | None = None
-        self.kind = b""
+        self.load_report: bytes | None = None
+        self.content_type = b""
         self.body = b""
-        self.keep = True
+        self.keep_alive = True
 
 
 class ResponseReader(_Reader):
@@ -320,7 +322,8 @@
         self.parser: httptools.HttpResponseParser = httptools.HttpResponseParser(self)
         self.response = Response()
         self.done: Response | None = None
-        self.surplus = False  # more has come than belongs to the answer: the connection is of no further use
+        # More has come than belongs to the answer: the connection is of no further use.
+        self.has_trailing_data = False
         self.interim = 0
 
     def feed(self, data: bytes) -> Response | None:
@@ -332,17 +335,17 @@
         self.done = None
         try:
             self._feed(data)
-        except MalformedError:
+        except MalformedMessageError:
             if self.done is None:
                 raise
-            self.surplus = True
+            self.has_trailing_data = True
         done, self.done = self.done, None
         return done
 
     def on_message_begin(self) -> None:
         """A message begins."""
         if self.done is not None:
-            raise MalformedError(400, "more than one answer")
+            raise MalformedMessageError(400, "more than one answer")
         super().on_message_begin()
         self.response = Response()
 
@@ -353,12 +356,12 @@
         if key == b"x-unprocessed":
             self.response.unprocessed = value.strip() == b"1"
         elif key == b"x-backend-load":
-            self.response.load = value
+            self.response.load_report = value
         elif key == b"content-type":
-            self.response.kind = value
+            self.response.content_type = value
         elif key == b"content-length" and too_long(value, self.max_body):
             # Guards against reading, up to the cap, what is said to be gigabytes.
-            raise MalformedError(413, "the body is too long")
+            raise MalformedMessageError(413, "the body is too long")
 
     def on_headers_complete(self) -> None:
         """The head is whole."""
@@ -371,9 +374,9 @@
         if status < 200:  # an interim answer: the real one follows, and nothing of this one stays
             self.parts, self.interim = [], self.interim + 1
             if self.interim > MOST_INTERIM or status < 100:
-                raise MalformedError(400, "too many interim answers")
+                raise MalformedMessageError(400, "too many interim answers")
             return
         response, self.interim = self.response, 0
         response.status, response.body, self.parts = status, self.body(), []
-        response.keep = self.parser.should_keep_alive()
+        response.keep_alive = self.parser.should_keep_alive()
         self.response, self.done = Response(), response
--- a/honeywharf/net/upstream.py
+++ b/honeywharf/net/upstream.py
@@ -8,7 +8,7 @@
 from honeywharf import interface as api
 from honeywharf.net.backend import Backend, Connection, Dial
 from honeywharf.net.calls import Call
-from honeywharf.net.clock import TIMER_EARLY_MS, Clock
+from honeywharf.net.clock import TIMER_TOLERANCE_MS, Clock
 from honeywharf.net.config import Address
 from honeywharf.net.connect_times import ConnectTimes
 
@@ -167,7 +167,7 @@
     def _serve_when_settled(self, backend: Backend) -> None:
         """Come back to the calls that wait once the next kept connection may be used again."""
         if backend.idle and backend.settling is None:
-            due_ms = min(c.answered_ms for c in backend.idle) + SETTLE_MS + TIMER_EARLY_MS
+            due_ms = min(c.answered_ms for c in backend.idle) + SETTLE_MS + TIMER_TOLERANCE_MS
             wait_s = max(0.0, due_ms - self.clock.now()) / 1000.0
             backend.settling = self.loop.call_later(wait_s, self._settled, backend)
 
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -199,7 +199,7 @@
 
     `changes` replaces settings by their key; of a group of settings, only the given keys are replaced.
     """
-    sockets = changes.pop("sockets", 1024)
+    max_sockets = changes.pop("sockets", 1024)
     settings = {
         key: {**value, **changes.get(key, {})} if isinstance(value, dict) else changes.get(key, value)
         for key, value in SETTINGS.items()
@@ -209,8 +209,8 @@
         listen=("127.0.0.1", 0),
         discovery=("127.0.0.1", discovery_port),
         seed=7,
-        sockets=sockets,
-        known={"generation": 1, "reset": True, "instances": entries},
+        max_sockets=max_sockets,
+        cached_list={"generation": 1, "reset": True, "instances": entries},
         settings=codec.decode_settings(settings),
         report_fields=tuple(settings["report"]["fields"]),
     )
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -222,8 +222,8 @@
     mode: str, discovery_is: str, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """What comes then is refused at once: nothing can be sent without a list."""
-    assert main_module.READY_S < 8
-    monkeypatch.setattr(main_module, "READY_S", 1e6)
+    assert main_module.FIRST_LIST_TIMEOUT_S < 8
+    monkeypatch.setattr(main_module, "FIRST_LIST_TIMEOUT_S", 1e6)
 
     async def main() -> None:
         discovery = await Discovery().start()
@@ -242,7 +242,7 @@
             await with_timeout(discovery.request_received.wait())
         client = await Client.connect(harness.port)
         assert await client.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
-        harness.proxy._be_ready()
+        harness.proxy._on_first_list_timeout()
         assert await client.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         client.send()
         first, headers, _ = await client.read_response()
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -169,7 +169,7 @@
             assert await client.read_status() == 200
             (event,) = [e for e in harness.events if isinstance(e, api.RequestArrived)]
             assert event.remaining_ms <= 5000.0
-            left = http1.duration(backend.requests[0][1][b"x-time-left"])
+            left = http1.parse_duration_ms(backend.requests[0][1][b"x-time-left"])
             assert left is not None
             assert left <= 5000.0
         await backend.stop()
@@ -378,7 +378,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """One caller has its answer half taken off when the process is about to end, another one just asks."""
-    monkeypatch.setattr("honeywharf.__main__.LEAVE_LATEST_MS", 1e6)
+    monkeypatch.setattr("honeywharf.__main__.MAX_FLUSH_MS", 1e6)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -401,11 +401,11 @@
                     b"X-Time-Left: 4000m\r\n\r\n")
                 await wait_until(harness.proxy.frontend.has_unwritten_data)
                 harness.proxy.drain()
-                harness.proxy._cut_off()
+                harness.proxy._fail_open_requests()
                 late.writer.write(
                     b"X-Correlation-Id: late\r\nX-Service-Class: read\r\nX-Time-Left: 4000m\r\n\r\n")
                 assert await late.read_status() == 503
-                harness.proxy._leave(harness.proxy.clock.now() + 1e6)
+                harness.proxy._stop_when_flushed(harness.proxy.clock.now() + 1e6)
                 assert not harness.proxy.stopped.is_set()
                 slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
                 whole = b""
@@ -419,7 +419,7 @@
 
 
 def test_the_end_comes_even_when_a_backend_never_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("honeywharf.__main__.KILL_AFTER_MS", 100.0)
+    monkeypatch.setattr("honeywharf.__main__.MAX_DRAIN_MS", 100.0)
 
     async def main() -> None:
         backend = await Backend().start()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -134,11 +134,11 @@
             ("pending", "busy_reqs"))
         self.count = 0
 
-    def arrive(self, left_ms: float = 1000.0) -> tuple[http1.Request, FakeCaller]:
+    def arrive(self, time_left_ms: float = 1000.0) -> tuple[http1.Request, FakeCaller]:
         self.count += 1
         request, caller = http1.Request(), FakeCaller()
-        request.id, request.class_name, request.left_ms = f"r{self.count}", "order", left_ms
-        request.method, request.target, request.read_ms = b"POST", b"/api", self.clock.ms
+        request.id, request.class_name, request.time_left_ms = f"r{self.count}", "order", time_left_ms
+        request.method, request.target, request.received_ms = b"POST", b"/api", self.clock.ms
         assert self.driver.request_arrived(request, caller)
         self.loop.turn()
         return request, caller
@@ -270,8 +270,8 @@
 
 def test_the_time_that_passed_since_the_request_was_read_counts(bench: Bench) -> None:
     request, caller = http1.Request(), FakeCaller()
-    request.id, request.class_name, request.left_ms = "r9", "order", 1000.0
-    request.read_ms = bench.clock.ms - 300.0  # it waited behind another one on its connection
+    request.id, request.class_name, request.time_left_ms = "r9", "order", 1000.0
+    request.received_ms = bench.clock.ms - 300.0  # it waited behind another one on its connection
     assert bench.driver.request_arrived(request, caller)
     bench.loop.turn()
     (event,) = bench.events(api.RequestArrived)
@@ -438,7 +438,8 @@
 
 def test_word_from_discovery_goes_before_what_waits(bench: Bench) -> None:
     request, caller = http1.Request(), FakeCaller()
-    request.id, request.class_name, request.left_ms, request.read_ms = "r1", "order", 1000.0, bench.clock.ms
+    request.id, request.class_name, request.time_left_ms, request.received_ms = (
+        "r1", "order", 1000.0, bench.clock.ms)
     bench.driver.request_arrived(request, caller)
     bench.driver.discovery_event(api.EndpointsListed(api.ListKind.CHANGES))
     bench.loop.turn()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -25,13 +25,13 @@
     (b"480", None), (b"480s", None), (b"-1m", None), (b"nanm", None), (b"1e9m", None), (b"", None),
 ])
 def test_durations(text: bytes, ms: float | None) -> None:
-    assert http1.duration(text) == ms
+    assert http1.parse_duration_ms(text) == ms
 
 
 def test_the_time_left_reads_back_and_is_never_negative() -> None:
-    _, _, value = http1.time_left(1234.5678).partition(b":")
-    assert http1.duration(value.strip()) == pytest.approx(1234.567)
-    assert http1.time_left(-3.0) == b"X-Time-Left: 0u\r\n"
+    _, _, value = http1.time_left_header(1234.5678).partition(b":")
+    assert http1.parse_duration_ms(value.strip()) == pytest.approx(1234.567)
+    assert http1.time_left_header(-3.0) == b"X-Time-Left: 0u\r\n"
 
 
 def test_a_request_in_one_piece_and_byte_by_byte_is_the_same() -> None:
@@ -42,10 +42,10 @@
     (piece,) = split
     for request in (whole, piece):
         assert (request.method, request.target, request.body) == (b"POST", b"/api?x=1", b"abc")
-        assert (request.id, request.class_name, request.account, request.sid) == (
+        assert (request.id, request.class_name, request.account, request.session_id) == (
             "9b1f", "checkout", "acme", "7f3a")
-        assert (request.left_ms, request.hint_ms, request.repeat) == (480.0, 2.5, True)
-        assert http1.pairs(request.facts) == {"isWrite": 1.0}
+        assert (request.time_left_ms, request.work_hint_ms, request.is_retry) == (480.0, 2.5, True)
+        assert http1.parse_named_numbers(request.facts) == {"isWrite": 1.0}
         assert request.idempotency_key == b"5c0f"
     assert whole.head() == piece.head()
 
@@ -59,7 +59,7 @@
         assert head.count(line + b"\r\n") == 1
     for gone in (b"X-Time-Left", b"Connection", b"X-Hop", b"Content_Length"):
         assert gone not in head
-    assert not request.keep
+    assert not request.keep_alive
 
 
 def test_a_chunked_body_goes_on_with_its_length() -> None:
@@ -104,17 +104,17 @@
     made = reader()
     for i in range(0, len(raw), 4096):
         assert made.feed(raw[i:i + 4096]) == []
-        if made.fault is not None:
+        if made.error is not None:
             break
-    assert made.fault is not None
-    assert made.fault.status == status
+    assert made.error is not None
+    assert made.error.status == status
 
 
 def test_a_sound_request_before_a_malformed_one_is_not_lost() -> None:
     made = reader()
     (request,) = made.feed(GOOD + b"nonsense\r\n\r\n")
     assert request.id == "9b1f"
-    assert made.fault is not None
+    assert made.error is not None
 
 
 def test_an_answer_and_its_report_are_read() -> None:
@@ -124,8 +124,9 @@
     assert not made.idle
     response = made.feed(raw[-1:])
     assert response is not None
-    assert (response.status, response.unprocessed, response.load, response.body, response.keep) == (
-        503, True, b"queue=2", b"no", True)
+    assert (
+        response.status, response.unprocessed, response.load_report, response.body, response.keep_alive,
+    ) == (503, True, b"queue=2", b"no", True)
     assert made.idle
 
 
@@ -133,7 +134,7 @@
     raw = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx"
     response = http1.ResponseReader().feed(raw)
     assert response is not None
-    assert (response.status, response.body, response.keep) == (200, b"x", False)
+    assert (response.status, response.body, response.keep_alive) == (200, b"x", False)
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
@@ -150,15 +151,15 @@
     response = made.feed(OK + good + behind)
     assert response is not None
     assert response.body == b"x"
-    assert made.surplus
+    assert made.has_trailing_data
 
 
 def test_interim_answers_leave_nothing_behind_and_end() -> None:
     interim = b"HTTP/1.1 103 Early\r\nX-Backend-Load: queue=9\r\nX-Unprocessed: 1\r\n\r\n"
     response = http1.ResponseReader().feed(interim * 2 + OK + b"Content-Length: 1\r\n\r\nx")
     assert response is not None
-    assert (response.body, response.load, response.unprocessed) == (b"x", None, False)
-    with pytest.raises(http1.MalformedError):
+    assert (response.body, response.load_report, response.unprocessed) == (b"x", None, False)
+    with pytest.raises(http1.MalformedMessageError):
         http1.ResponseReader().feed(interim * 50)
 
 
@@ -167,16 +168,16 @@
     b"9" * 400, b"\xb2",
 ])
 def test_a_figure_that_makes_no_sense_is_none(text: bytes) -> None:
-    assert http1.figure(text) is None
-    assert http1.pairs(b"a=" + text + b",b=2") == {"b": 2.0}
+    assert http1.parse_number(text) is None
+    assert http1.parse_named_numbers(b"a=" + text + b",b=2") == {"b": 2.0}
     (request,) = reader().feed(GOOD.replace(b"2500", text))
-    assert request.hint_ms is None
+    assert request.work_hint_ms is None
 
 
 def test_an_idle_reader_keeps_nothing_of_the_last_request() -> None:
     made = reader()
     made.feed(GOOD)
-    assert made.request is http1.NONE
+    assert made.request is http1.NO_REQUEST
     assert made.parts == []
 
 
@@ -196,12 +197,12 @@
     OK + b"X-Pad: " + b"p" * 30000,
 ])
 def test_malformed_answers(raw: bytes) -> None:
-    with pytest.raises(http1.MalformedError):
+    with pytest.raises(http1.MalformedMessageError):
         http1.ResponseReader().feed(raw)
 
 
 def test_an_answer_says_when_to_come_back_in_decimal_seconds() -> None:
-    text = http1.answer(503, retry_after_ms=250.0, keep=False)
+    text = http1.format_response(503, retry_after_ms=250.0, keep_alive=False)
     assert b"Retry-After: 0.250\r\n" in text
     assert b"Connection: close\r\n" in text
-    assert b"Retry-After" not in http1.answer(503)
+    assert b"Retry-After" not in http1.format_response(503)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -20,7 +20,7 @@
 
 def test_the_configuration_is_typed(tmp_path: Path) -> None:
     made = config.load(write_config(tmp_path, listen="127.0.0.2:3000"))
-    assert (made.listen, made.discovery, made.sockets) == (("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
+    assert (made.listen, made.discovery, made.max_sockets) == (("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
     assert made.seed == 0x8C1F30D27A5BE964
     assert made.settings.load_report_fields == ("queue", "in_flight")
     assert made.report_fields == ("pending", "busy_reqs")
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -280,7 +280,7 @@
             assert got == body
             assert headers[b"x-correlation-id"] == name.encode()
             assert headers[b"idempotency-key"] == f"key-{name}".encode()
-            left = http1.duration(headers[b"x-time-left"])
+            left = http1.parse_duration_ms(headers[b"x-time-left"])
             assert left is not None
             assert 0.0 < left < 4000.0
         await backend.stop()
