--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -53,7 +53,7 @@
     def feed(self, event: api.Event) -> Actions:
         return self.balancer.handle(self.now_ms, event)
 
-    def update_endpoints(
+    def feed_list(
         self, endpoints: Iterable[api.Endpoint], kind: api.ListKind = api.ListKind.FULL
     ) -> Actions:
         return self.feed(api.EndpointsListed(kind, tuple(endpoints)))
@@ -91,7 +91,7 @@
     return sends[0]
 
 
-def expect_single_refusal(actions: list[api.Action]) -> api.Refuse:
+def expect_only_refusal(actions: list[api.Action]) -> api.Refuse:
     """Return the only action, which has to be a refusal that says when to retry."""
     (action,) = actions
     assert isinstance(action, api.Refuse), actions
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -44,7 +44,7 @@
 HttpMessage = tuple[bytes, dict[bytes, bytes], bytes]
 
 
-def run_with_timeout(main: Coroutine[Any, Any, T]) -> T:
+def run_test(main: Coroutine[Any, Any, T]) -> T:
     """Run a test's coroutine on uvloop, as the real proxy runs, and fail if it takes too long."""
     return uvloop.run(asyncio.wait_for(main, 3 * WAIT_TIMEOUT_S))
 
@@ -129,7 +129,7 @@
             self.writers.discard(writer)
             writer.close()
 
-    def discovery_entry(
+    def make_entry(
         self, name: str, zone: str = "z", lifecycle: str = "up", **changes: Any
     ) -> dict[str, Any]:
         """Return an entry of discovery's list that points to this backend."""
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -8,7 +8,7 @@
 from tests.balancer_harness import (
     TWO_ZONE_ENDPOINTS,
     BalancerHarness,
-    expect_single_refusal,
+    expect_only_refusal,
     expect_single_send,
     make_endpoint,
     make_settings,
@@ -17,7 +17,7 @@
 
 def test_calls_are_spread_evenly_over_the_own_zone() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     sent = harness.run_requests(4000)
     assert set(sent) == {"a0", "a1", "a2", "a3"}
     assert all(900 < n < 1100 for n in sent.values())
@@ -25,7 +25,7 @@
 
 def test_calls_spill_evenly_to_other_zones_if_the_own_zone_is_empty() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0", state=api.EndpointState.DRAINING), *TWO_ZONE_ENDPOINTS[4:]])
+    harness.feed_list([make_endpoint("a0", state=api.EndpointState.DRAINING), *TWO_ZONE_ENDPOINTS[4:]])
     sent = harness.run_requests(2000)
     assert set(sent) == {"b0", "b1", "b2", "b3"}
     assert all(400 < n < 600 for n in sent.values())
@@ -34,7 +34,7 @@
 def test_retrying_a_rejection_costs_less_than_a_retry_token() -> None:
     """A rejection causes little load at the server, and giving up wastes the work of the outer tiers."""
     harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=3)))
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(30)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(30)])
     for _ in range(15):
         expect_single_send(harness.start_request())
         expect_single_send(harness.end_attempt(api.Outcome.REJECTED, after_ms=1.0))
@@ -46,7 +46,7 @@
 
 def test_inner_tiers_never_refuse_for_lack_of_capacity() -> None:
     harness = BalancerHarness(make_settings(tier=1, tier_count=2))
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     assert all(isinstance(a, api.Send) for _ in range(200) for a in harness.start_request())
 
 
@@ -56,7 +56,7 @@
     That a server still answers does not show that it is not draining.
     """
     harness = BalancerHarness(make_settings(polled_discovery=True))
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     harness.run_requests(20)
     harness.start_request()
     harness.feed(api.ListExpiryChanged(harness.now_ms))
@@ -65,10 +65,10 @@
     )  # the request is not retried either
     for _ in range(20):
         harness.now_ms += 1000.0
-        expect_single_refusal(harness.start_request())
-    harness.update_endpoints([], api.ListKind.FAILED)
-    expect_single_refusal(harness.start_request())
-    harness.update_endpoints(
+        expect_only_refusal(harness.start_request())
+    harness.feed_list([], api.ListKind.FAILED)
+    expect_only_refusal(harness.start_request())
+    harness.feed_list(
         [], api.ListKind.CHANGES
     )  # discovery reports no change, so the list is current again
     assert len(harness.run_requests(50)) > 1
@@ -77,7 +77,7 @@
 def test_the_pause_after_a_failed_watch_grows_with_the_number_of_balancers() -> None:
     for balancer_count, max_pause_ms in ((4, 500.0), (30, 1500.0), (1000, 10000.0)):
         harness = BalancerHarness(make_settings(polled_discovery=True, balancer_count=balancer_count))
-        timers = [a for _ in range(200) for a in harness.update_endpoints([], api.ListKind.FAILED)]
+        timers = [a for _ in range(200) for a in harness.feed_list([], api.ListKind.FAILED)]
         pauses_ms = [a.at_ms - harness.now_ms for a in timers if isinstance(a, api.SetTimer)]
         assert 0.9 * max_pause_ms < max(pauses_ms) <= max_pause_ms
 
@@ -87,7 +87,7 @@
     times = set()
     for seed in range(20):
         harness = BalancerHarness(settings, seed)
-        (timer,) = harness.update_endpoints([], api.ListKind.FAILED)
+        (timer,) = harness.feed_list([], api.ListKind.FAILED)
         assert isinstance(timer, api.SetTimer)
         assert harness.now_ms <= timer.at_ms <= harness.now_ms + settings.rules.poll_interval_ms
         times.add(timer.at_ms)
@@ -119,7 +119,7 @@
     """Otherwise the request would depend on the hung call alone, once a full server rejected its hedge."""
     limits = api.Limits(max_attempts=4, concurrent_attempts=True)
     harness = BalancerHarness(make_settings(limits=limits))
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("a1")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("a1")])
     for _ in range(40):
         harness.start_request()
         harness.end_attempt(api.Outcome.OK, after_ms=20.0)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -16,7 +16,7 @@
     GatedLoop,
     ProxyHarness,
     make_response,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
 )
@@ -101,7 +101,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             # The first request leaves an idle connection to the backend.
             first_client = BlockingClient(harness, disconnect_mode)
             first_client.send("warm")
@@ -116,14 +116,14 @@
             assert (len(backend.requests), backend.connection_count) == (1 + sent, 1)
             assert harness.proxy.driver.open_request_count == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("disconnect_mode", DISCONNECT_MODES)
 def test_nothing_is_sent_on_a_connection_established_as_the_client_disconnects(disconnect_mode: str) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = BlockingClient(harness, disconnect_mode)
             harness.proxy.pool.loop = DisconnectingLoop(harness.proxy.loop, client)  # type: ignore[assignment]
             client.send("r0")
@@ -136,14 +136,14 @@
             await wait_until_finished(harness, 2)
             assert (len(backend.requests), backend.connection_count) == (1, 1)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_no_retry_for_a_client_that_cancels_before_it_has_read_its_previous_response() -> None:
     """Most of the response to the first of two pipelined requests is still in the proxy's write buffer."""
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = BlockingClient(harness, "cancels")
             await wait_until(lambda: bool(harness.proxy.frontend.connections))
             (connection,) = harness.proxy.frontend.connections
@@ -161,4 +161,4 @@
             assert len(backend.requests) == 2
             client.socket.close()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -20,7 +20,7 @@
 def test_the_wait_for_a_connection_does_not_count_as_latency() -> None:
     """The time to connect must not lower limits or a server's traffic, nor distort the expected latency."""
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
+    harness.feed_list(TWO_ZONE_ENDPOINTS[:4])
     before = harness.balancer.host_set.zones["a"].limit
     for _ in range(200):
         harness.start_request()
@@ -47,7 +47,7 @@
 
 def test_calls_beyond_the_limit_of_the_own_zone_spill_over_to_another() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     calls_by_zone: dict[str, int] = {}
     for _ in range(40):
         for action in harness.start_request():
@@ -72,7 +72,7 @@
 def test_servers_get_calls_in_proportion_to_their_weights() -> None:
     """With an even split, the small servers of a zone would be overloaded and the large ones underused."""
     harness = BalancerHarness()
-    harness.update_endpoints(
+    harness.feed_list(
         [make_endpoint("a0", weight=4.0), make_endpoint("a1", weight=1.0), make_endpoint("a2", weight=1.0)]
     )
     for zone in harness.balancer.host_set.zones.values():
@@ -92,7 +92,7 @@
     The zone's limit admits several calls, but the part of each of its many servers is less than one call.
     """
     harness = BalancerHarness(make_settings(classes=(HIGH_WORTH, LOW_WORTH), balancer_count=12))
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(30)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(30)])
     zone = harness.balancer.host_set.zones["a"]
     for _ in range(100):
         harness.now_ms += 100
@@ -105,7 +105,7 @@
     harness = BalancerHarness(
         make_settings(classes=(HIGH_WORTH, LOW_WORTH), tier=1, tier_count=2, balancer_count=100)
     )
-    harness.update_endpoints([make_endpoint(f"{zone}{i}", zone) for zone in "ab" for i in range(30)])
+    harness.feed_list([make_endpoint(f"{zone}{i}", zone) for zone in "ab" for i in range(30)])
     for _ in range(100):
         assert expect_single_send(harness.start_request("low_worth")).endpoint.startswith("a")
         harness.end_attempt(api.Outcome.OK, after_ms=50)
@@ -114,7 +114,7 @@
 def test_the_initial_limit_admits_two_calls_per_server_and_tier() -> None:
     """Otherwise calls that wait for the next tier fill a zone that has no load, and it spills over."""
     harness = BalancerHarness(make_settings(tier_count=2, zone_count=2, balancer_count=2))
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     in_flight = make_unanswered_requests(harness, 14)
     assert sum(n for name, n in in_flight.items() if name.startswith("a")) == 14
 
@@ -122,7 +122,7 @@
 def test_calls_below_the_first_tier_spill_over_when_the_servers_are_full() -> None:
     """A zone with few servers for its callers must not be overloaded while the other zones are idle."""
     harness = BalancerHarness(make_settings(tier=1, tier_count=2))
-    harness.update_endpoints([make_endpoint("a0"), *TWO_ZONE_ENDPOINTS[4:]])
+    harness.feed_list([make_endpoint("a0"), *TWO_ZONE_ENDPOINTS[4:]])
     in_flight = make_unanswered_requests(harness, 16)
     assert in_flight["a0"] <= 6
     assert sum(in_flight.values()) == 16
@@ -131,7 +131,7 @@
 def test_late_responses_lower_the_limits_and_fast_ones_raise_them_again() -> None:
     """Servers that respond late must get fewer calls, early and at the first tier, or they get congested."""
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     run_steady_load(harness, 900.0, 4000)
     limits_after_late_responses = sum(z.limit for z in harness.balancer.host_set.zones.values())
     run_steady_load(harness, 50.0, 8000)
@@ -142,7 +142,7 @@
 def test_latencies_that_vary_within_the_aim_cause_no_refusals() -> None:
     """Ordinary latency would look late if it were compared with the lowest latency instead of the aim."""
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     rng = random.Random(5)
     in_flight: list[tuple[float, float, str]] = []
     refused = 0
@@ -162,7 +162,7 @@
 def test_light_traffic_is_not_refused_where_the_limit_is_less_than_one_call() -> None:
     """A limit of less than one call must not reject every call while another one is in flight."""
     harness = BalancerHarness(make_settings(balancer_count=300))
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     assert isinstance(harness.start_request()[0], api.Send)
     assert harness.balancer.host_set.zones["a"].limit * harness.balancer.host_set.zones["a"].capacity < 0.1
     accepted = 0
@@ -180,7 +180,7 @@
     high_worth = api.RequestClass("high_worth", 1000, 2000, worth=10.0)
     low_worth = api.RequestClass("low_worth", 1000, 2000, worth=1.0)
     harness = BalancerHarness(make_settings(classes=(high_worth, low_worth), balancer_count=1000))
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     accepted = {"high_worth": 0, "low_worth": 0}
     for i in range(400):
         harness.now_ms += 1
@@ -197,7 +197,7 @@
 def test_a_limit_grows_only_while_it_is_in_use_and_more_slowly_than_it_falls() -> None:
     """Responses show too high a limit one round trip late, and calls admitted by then congest the servers."""
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
+    harness.feed_list(TWO_ZONE_ENDPOINTS[:4])
     zone = harness.balancer.host_set.zones["a"]
     initial_limit = zone.limit
     for _ in range(200):  # One call at a time uses little of the limit.
@@ -221,7 +221,7 @@
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.NOT_SENT])
 def test_attempts_that_reached_no_server_do_not_raise_the_limit(outcome: api.Outcome) -> None:
     harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=1)))
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
+    harness.feed_list(TWO_ZONE_ENDPOINTS[:4])
     zone = harness.balancer.host_set.zones["a"]
     zone.latency_ratio, before = 0.0, zone.limit
     for _ in range(3):
@@ -238,7 +238,7 @@
 def test_only_failures_after_the_target_latency_change_the_latency_ratio(outcome: api.Outcome) -> None:
     """If early failures counted as fast responses, the limit would rise just when calls begin to fail."""
     harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=1)))
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
+    harness.feed_list(TWO_ZONE_ENDPOINTS[:4])
     zone = harness.balancer.host_set.zones["a"]
     zone.latency_ratio = before = 0.9
     harness.start_request()
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -22,7 +22,7 @@
     discovery_entry,
     make_response,
     read_message,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
     with_timeout,
@@ -59,7 +59,7 @@
         backend = await Backend().start()
         cut = isinstance(step, bytes) and outcome is Outcome.RESET
         backend.scripted_responses = [step]
-        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 1}) as harness:
+        async with synced_proxy([backend.make_entry("b")], bounds={"mostTries": 1}) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
@@ -76,7 +76,7 @@
                 assert status not in (429, 503) or status == 200
                 assert len(backend.requests) == 1  # an unsafe request that may have run leaves once
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_refused_connection_has_run_nothing() -> None:
@@ -88,7 +88,7 @@
                 client.send("pay")
                 assert await client.read_status() == 503
                 assert {e.outcome for e in harness.ended_attempts()} == {Outcome.CONNECT_FAILED}
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_connection_that_never_comes_up_is_given_up() -> None:
@@ -113,7 +113,7 @@
                 assert event.elapsed_ms >= 150.0
             for filler in fillers:
                 filler.close()
-    run_with_timeout(main())
+    run_test(main())
 
 
 class TooLate(GatedLoop):
@@ -145,7 +145,7 @@
         await wait_until(lambda: backend.closed_connection_count == 1)
         assert (call.outcomes, pool.count, backend.requests) == ([Outcome.CONNECT_TIMEOUT], 0, [])
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("change", ["drains", "leaves", "starts anew", "moves"])
@@ -170,7 +170,7 @@
         assert (pool.count, backend.requests, other.requests) == (0, [], [])
         await backend.stop()
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_break_before_the_last_byte_left_has_run_nothing() -> None:
@@ -193,7 +193,7 @@
             await with_timeout(call.finished.wait())
             assert call.outcomes == [Outcome.CONNECT_FAILED]
             assert pool.count == 0
-    run_with_timeout(main())
+    run_test(main())
 
 
 class SmallBuffers:
@@ -246,14 +246,14 @@
             peer.close()
             assert 0 < len(came.partition(b"\r\n\r\n")[2]) < 20_000
             await wait_until(lambda: pool.count == 0)
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_backend_that_says_nothing_times_out_and_its_connection_closes() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("pay", time_left="300m")
             assert await client.read_status() == 502
@@ -261,14 +261,14 @@
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_what_goes_on_to_the_backend() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = make_response(200, bytes(range(256)) * 256)
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             body = bytes(reversed(range(256))) * 256
             name = client.send("order", body, "4000m", "X-Account: acme", "Cookie: sid=7")
@@ -284,7 +284,7 @@
             assert left is not None
             assert 0.0 < left < 4000.0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def settle(pool: ConnectionPool) -> None:
@@ -330,13 +330,13 @@
             assert (await client.read_response())[2] == b"third"
             assert len(connections) == 2
         server.close()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_connections_are_kept_and_one_carries_one_request_at_a_time() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             for _ in range(5):
                 client.send()
@@ -350,14 +350,14 @@
             await wait_until(lambda: len(backend.requests) == 7)
             assert backend.connection_count == 2
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"?"])
 def test_a_kept_connection_that_saw_its_end_or_stray_bytes_is_not_used_again(stray: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
@@ -371,7 +371,7 @@
             assert await client.read_status() == 200
             assert backend.connection_count == 2
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_answer_with_more_behind_it_or_close_ends_its_connection() -> None:
@@ -381,21 +381,21 @@
             make_response(200, b"x", b"Connection: close"),
             make_response(200, b"y"),
         ]
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             for number in (1, 2):
                 client.send()
                 assert await client.read_status() == 200
                 assert backend.connection_count == number
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_connection_idle_for_nearly_the_settings_time_is_closed_first() -> None:
     async def main() -> None:
         backend = await Backend().start()
         # 50 ms short of the margin
-        async with synced_proxy([backend.discovery_entry("b")], bounds={"connIdleMs": 800.0}) as harness:
+        async with synced_proxy([backend.make_entry("b")], bounds={"connIdleMs": 800.0}) as harness:
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
@@ -405,14 +405,14 @@
             assert await client.read_status() == 200
             assert backend.connection_count == 2
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_client_that_leaves_takes_no_attempt_along() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
@@ -425,14 +425,14 @@
             assert (event.outcome, event.request_finished) == (Outcome.OK, True)
             await wait_until(lambda: harness.proxy.driver.requests == {})
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_client_that_leaves_while_a_connection_comes_up_has_nothing_sent_on() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy(
-            [backend.discovery_entry("b")], bounds={"connectTimeoutMs": 60000.0}
+            [backend.make_entry("b")], bounds={"connectTimeoutMs": 60000.0}
         ) as harness:
             pool = harness.proxy.pool
             gate = GatedLoop(pool.loop)
@@ -453,7 +453,7 @@
             assert [m[2] for m in backend.requests] == [b"stays"]
             assert backend.connection_count == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_bound_on_connections_closes_idle_ones_and_then_sends_nothing() -> None:
@@ -478,21 +478,21 @@
         assert (one.outcomes, two.outcomes, three.outcomes) == ([Outcome.OK], [], [Outcome.NOT_SENT])
         await first.stop()
         await second.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_probes_ask_for_the_report() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [make_response(200, b"pending=4,busy_reqs=5")]
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             harness.proxy.driver._execute(api.Probe("b"))
             await wait_until(lambda: any(isinstance(e, api.ProbeEnded) for e in harness.events))
             (event,) = [e for e in harness.events if isinstance(e, api.ProbeEnded)]
             assert (event.endpoint, event.outcome, event.load_report) == ("b", Outcome.OK, (4.0, 5.0))
             assert backend.requests[0][0] == b"GET /stats HTTP/1.1"
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_answer_that_begins_and_does_not_end_leaves_time_for_another_attempt(
@@ -503,7 +503,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort"]
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("order")
             assert await client.read_status() == 200
@@ -512,7 +512,7 @@
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert len({r[1][b"idempotency-key"] for r in backend.requests}) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("behind", [make_response(200, b"another's"), b"noise"])
@@ -537,7 +537,7 @@
         assert (backend.connection_count, len(backend.requests)) == (2, 2)
         await wait_until(lambda: backend.closed_connection_count == 1)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_connection_with_surplus_is_not_used_again_and_its_backend_not_ejected() -> None:
@@ -547,7 +547,7 @@
             make_response(200, b"one") + make_response(200, b"copy"),
             make_response(200, b"two"),
         ]
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             for body in (b"one", b"two"):
                 client.send()
@@ -555,7 +555,7 @@
             assert backend.connection_count == 2
             assert harness.proxy.driver.balancer.host_set.servers["b"].ejections == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_backend_that_closes_idle_connections_soon_is_not_written_to_on_an_old_one(
@@ -584,7 +584,7 @@
         await with_timeout(third.finished.wait())
         assert (backend.connection_count, third.outcomes) == (3, [Outcome.OK])
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_long_answer_in_pieces_is_passed_on_whole(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -596,7 +596,7 @@
         backend.default_response = None
         body = os.urandom(400_000)
         whole = make_response(200, body)
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             await with_timeout(backend.request_received.wait())
@@ -609,7 +609,7 @@
             assert (await harness.wait_for_ended_attempt()).outcome is Outcome.OK
             assert harness.proxy.pool.bytes_read == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_long_answers_are_bounded_together(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -619,7 +619,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 1}) as harness:
+        async with synced_proxy([backend.make_entry("b")], bounds={"mostTries": 1}) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
@@ -629,4 +629,4 @@
             assert (await harness.wait_for_ended_attempt()).outcome is Outcome.ERROR
             assert harness.proxy.pool.bytes_read == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
     make_config,
     make_response,
     received_lists,
-    run_with_timeout,
+    run_test,
     started_proxy,
     synced_proxy,
     wait_for_list,
@@ -66,7 +66,7 @@
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             assert b"after=7&" in harness.discovery.request_lines[2]
             assert len(harness.discovery.connections) == 1
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("changes", [0, 1])
@@ -93,21 +93,21 @@
             # The full list, which is never answered, and the poll after it has timed out.
             await wait_until(lambda: len(harness.discovery.request_lines) >= 4)
             assert harness.discovery.request_lines[2].startswith(b"GET /registry/instances HTTP")
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_drained_backend_gets_nothing_new_and_a_full_list_replaces() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
-        async with synced_proxy([one.discovery_entry("one"), two.discovery_entry("two")]) as harness:
+        async with synced_proxy([one.make_entry("one"), two.make_entry("two")]) as harness:
             client = await Client.connect(harness.port)
-            harness.discovery.publish(2, one.discovery_entry("one", lifecycle="draining"))
+            harness.discovery.publish(2, one.make_entry("one", lifecycle="draining"))
             await wait_for_list(harness, 2)
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 200
             assert one.requests == []
-            harness.discovery.publish(3, one.discovery_entry("one"), reset=True)
+            harness.discovery.publish(3, one.make_entry("one"), reset=True)
             event = await wait_for_list(harness, 3)
             assert event.kind is api.ListKind.FULL
             assert not harness.proxy.pool.has_endpoint("two")
@@ -117,34 +117,34 @@
             assert len(one.requests) == 3
         await one.stop()
         await two.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("change", [{"lifecycle": "removed"}, {"lifecycle": "draining"}, {"startedAtMs": 99}])
 def test_idle_connections_to_what_has_left_or_started_anew_are_closed(change: dict[str, Any]) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
-            harness.discovery.publish(2, {**backend.discovery_entry("b"), **change})
+            harness.discovery.publish(2, {**backend.make_entry("b"), **change})
             await wait_for_list(harness, 2)
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert harness.proxy.pool.has_endpoint("b") == (change.get("lifecycle") != "removed")
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_connection_busy_while_its_backend_moves_is_not_kept_for_the_new_address() -> None:
     async def main() -> None:
         old, new = await Backend().start(), await Backend().start()
         old.default_response = None
-        async with synced_proxy([old.discovery_entry("b")]) as harness:
+        async with synced_proxy([old.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             await with_timeout(old.request_received.wait())
-            harness.discovery.publish(2, new.discovery_entry("b"))
+            harness.discovery.publish(2, new.make_entry("b"))
             await wait_for_list(harness, 2)
             for writer in list(old.writers):
                 writer.write(make_response())
@@ -155,7 +155,7 @@
             await wait_until(lambda: old.closed_connection_count == 1)
         await old.stop()
         await new.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
@@ -185,7 +185,7 @@
             event = await wait_for_list(harness, 2)
             assert [e.id for e in event.endpoints] == ["c"]
             assert harness.proxy.pool.has_endpoint("b")
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_ready_only_once_a_list_is_held() -> None:
@@ -199,7 +199,7 @@
             harness.discovery.publish(1, discovery_entry("b", 1))
             await wait_until(lambda: harness.proxy.watch.initialized)
             assert await client.round_trip(ready) == 200
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_call_that_stands_in_line_is_not_given_up_soon() -> None:
@@ -213,7 +213,7 @@
             assert timer is not None
             assert 3.0 < timer.when() - asyncio.get_running_loop().time() < 6.0
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -251,7 +251,7 @@
         assert harness.task is not None
         harness.task.cancel()
         await discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_where_the_module_asks_for_watches_it_is_told_of_failures() -> None:
@@ -270,7 +270,7 @@
             await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FULL)
             assert not harness.proxy.pool.has_endpoint("b")
         await asyncio.sleep(0)
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_answer_to_a_poll_in_flight_is_not_taken_for_the_full_list_asked_for_meanwhile() -> None:
@@ -285,7 +285,7 @@
             assert harness.proxy.pool.has_endpoint("c")
             harness.discovery.publish(2, discovery_entry("c", 2), reset=True)
             await wait_until(lambda: not harness.proxy.pool.has_endpoint("b"))
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_refused_call_is_over_and_never_taken_for_a_silent_one() -> None:
@@ -300,7 +300,7 @@
                 )
                 assert harness.proxy.watch.poll_timer is None  # nothing is due before the module's next word
             assert not harness.proxy.watch.initialized
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -318,7 +318,7 @@
                 harness.proxy.watch.watch()  # the module's next word
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             assert b"&wait_ms=0 " in harness.discovery.request_lines[2]
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_pushed_list_is_asked_for_again_within_the_grace_for_drains() -> None:
@@ -328,7 +328,7 @@
         discovery = await Discovery().start()
         port = discovery.port
         await discovery.stop()
-        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
+        rows = [leaves.make_entry("leaves"), stays.make_entry("stays")]
         harness = ProxyHarness(make_config(port, rows, contract={"stopSendingWithinMs": 120.0}), discovery)
         await harness.start()
         await wait_until(lambda: harness.proxy.watch.failures >= 8)  # its pause has grown as far as it will
@@ -337,7 +337,7 @@
         assert timer is not None
         assert timer.when() - now <= 0.07
         await discovery.start(port)
-        discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
+        discovery.publish(2, leaves.make_entry("leaves", lifecycle="draining"))
         await wait_for_list(harness, 2)
         client = await Client.connect(harness.port)
         client.send()
@@ -348,4 +348,4 @@
         for backend in (leaves, stays):
             await backend.stop()
         await discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_discovery_address_change.py
+++ b/tests/test_discovery_address_change.py
@@ -15,7 +15,7 @@
     discovery_entry,
     make_response,
     received_lists,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
     with_timeout,
@@ -35,7 +35,7 @@
     async def main() -> None:
         backend, other = await Backend().start(), await Discovery().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             client = await Client.connect(harness.port)
             client.send()
@@ -63,7 +63,7 @@
             assert len(other.connections) == 1
         await other.stop()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_watch_moved_again_and_again_ends_at_the_last_address() -> None:
@@ -84,7 +84,7 @@
             await wait_until(lambda: not first.connections)
         await first.stop()
         await last.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_address_that_is_not_up_yet_is_tried_until_it_answers() -> None:
@@ -103,27 +103,27 @@
             await wait_until(lambda: harness.proxy.pool.has_endpoint("f"))
             assert other.request_lines[:2] == [b"GET /registry/instances?after=1&wait_ms=0 HTTP/1.1"] * 2
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_watch_moves_while_the_proxy_drains() -> None:
     async def main() -> None:
         backend, other = await Backend().start(), await Discovery().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             await with_timeout(backend.request_received.wait())
             harness.proxy.drain()
             harness.proxy.watch.change_address(("127.0.0.1", other.port))
-            other.publish(1, backend.discovery_entry("b"))
+            other.publish(1, backend.make_entry("b"))
             await moved(harness, other)
             for writer in list(backend.writers):
                 writer.write(make_response())
             assert await client.read_status() == 200
         await other.stop()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("moves", [True, False])
@@ -152,4 +152,4 @@
             await wait_until(lambda: len(asked.request_lines) == calls + 3)
             assert b"?after=0&" in asked.request_lines[-1]
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -14,7 +14,7 @@
     Backend,
     Client,
     make_response,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
     with_timeout,
@@ -43,7 +43,7 @@
 def test_bad_input_is_answered_by_the_proxy_and_sent_nowhere(raw: bytes, status: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             assert await client.round_trip(raw) == status
             assert await client.reaches_eof()
@@ -52,20 +52,20 @@
             other.send()
             assert await other.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("path", [b"/", b"/apis", b"/health", b"/health/ready/x", b"*"])
 def test_an_unknown_path_is_not_found_and_the_connection_stays(path: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             assert await client.round_trip(b"OPTIONS " + path + b" HTTP/1.1\r\n" + HEAD + b"\r\n") == 404
             client.send()
             assert await client.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_requests_on_one_connection_are_answered_in_their_order() -> None:
@@ -76,13 +76,13 @@
             make_response(200, b"two"),
             make_response(200, b"three"),
         ]
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             names = [client.send() for _ in range(3)]
             assert [(await client.read_response())[2] for _ in names] == [b"one", b"two", b"three"]
             assert [r[1][b"x-correlation-id"].decode() for r in backend.requests] == names
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("number", [downstream.MAX_PIPELINED + 1, 400])
@@ -90,7 +90,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for k in range(number):
                 client.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"abc", b"abc%d" % k) + b"\r\n")
@@ -106,7 +106,7 @@
                 lambda: not harness.proxy.driver.requests and harness.proxy.driver.open_request_count == 0
             )
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("raw", [
@@ -118,7 +118,7 @@
     """It is read and thrown away for a while, since closing on unread bytes would take the answer back."""
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.writer.write(raw)
             assert await client.read_status() >= 400
@@ -127,20 +127,20 @@
             await wait_until(lambda: not harness.proxy.frontend.connections)
             assert backend.requests == []
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_last_answer_arrives_though_more_was_sent_behind_the_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("read", b"", "4000m", "Connection: close")
             client.writer.write(b"x" * 100_000)
             assert await client.read_status() == 200
             await wait_until(lambda: not harness.proxy.frontend.connections)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nContent-Le", b"GET /none HTTP/1.1\r\n\r\n"])
@@ -157,13 +157,13 @@
             front = harness.proxy.frontend
             await wait_until(lambda: not front.connections)
             assert not any((front.silent, front.partial, front.idle))
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_time_left_of_years_is_held_to_the_deadline_of_the_class() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("read", b"", "999999999999m")
             assert await client.read_status() == 200
@@ -173,13 +173,13 @@
             assert left is not None
             assert left <= 5000.0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_sound_request_is_answered_before_the_malformed_one_behind_it() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             client.writer.write(b"nonsense\r\n\r\n")
@@ -187,13 +187,13 @@
             assert await client.read_status() == 400
             assert await client.reaches_eof()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_client_that_asks_for_it_is_told_to_go_on() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.writer.write(
                 b"POST /api HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n"
@@ -204,14 +204,14 @@
             assert backend.requests[0][2] == b"ok"
             assert b"expect" not in backend.requests[0][1]
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_over_the_bound_on_open_requests_a_request_is_refused_at_once() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")], bounds={"openCap": 1}) as harness:
+        async with synced_proxy([backend.make_entry("b")], bounds={"openCap": 1}) as harness:
             first, second = await Client.connect(harness.port), await Client.connect(harness.port)
             first.send()
             await with_timeout(backend.request_received.wait())
@@ -219,14 +219,14 @@
             assert await second.read_status() == 503
             assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_id_that_is_open_is_not_taken_again() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             first, second = await Client.connect(harness.port), await Client.connect(harness.port)
             first.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n")
             await with_timeout(backend.request_received.wait())
@@ -235,7 +235,7 @@
                 writer.write(make_response())
             assert await first.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_beyond_the_bound_on_callers_the_silent_go_first_and_then_new_ones_are_refused(
@@ -245,7 +245,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             harness.proxy.frontend.max_connections = 3
             idle, busy = await Client.connect(harness.port), await Client.connect(harness.port)
             idle.send()
@@ -275,7 +275,7 @@
             for client in (busy, idle, fourth):
                 assert await client.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_flood_of_callers_that_are_turned_away_keeps_to_the_bound_and_all_are_answered(
@@ -286,7 +286,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             front = harness.proxy.frontend
             front.max_connections = 8
             busy = await Client.connect(harness.port)
@@ -303,7 +303,7 @@
             assert await busy.read_status() == 200
             assert await busy.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_part_of_a_request_does_not_stay_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -312,7 +312,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             idle, slow = await Client.connect(harness.port), await Client.connect(harness.port)
             idle.send()
             assert await idle.read_status() == 200
@@ -321,14 +321,14 @@
             idle.send()  # one that is merely idle stays
             assert await idle.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_draining_finishes_what_is_taken_and_closes_the_rest() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             busy, idle = await Client.connect(harness.port), await Client.connect(harness.port)
             assert await idle.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
             busy.send()
@@ -350,14 +350,14 @@
             assert harness.task is not None
             await with_timeout(asyncio.shield(harness.task))  # it ends by itself once nothing is open
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_who_stands_in_line_when_the_listener_closes_is_still_served() -> None:
     """The loop is late, every time: the caller comes in the very turn in which the listener's time is up."""
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             harness.proxy.drain()
             with socket.create_connection(("127.0.0.1", harness.port)) as late:
                 late.sendall(
@@ -371,7 +371,7 @@
             await with_timeout(asyncio.shield(harness.task))
             assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_after_the_cut_off_what_comes_is_refused_and_answers_leave_whole(
@@ -383,7 +383,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = make_response(200, b"x" * 900_000 + b"end")
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             loop = asyncio.get_running_loop()
             late = await Client.connect(harness.port)
             late.writer.write(b"GET /api HTTP/1.1\r\n")
@@ -415,7 +415,7 @@
             await wait_until(harness.proxy.stopped.is_set)
             assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_end_comes_even_when_a_backend_never_answers(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -424,7 +424,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
@@ -433,4 +433,4 @@
             assert harness.task is not None
             await with_timeout(asyncio.shield(harness.task))
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from honeywharf import interface as api
-from tests.proxy_harness import Backend, Client, run_with_timeout, synced_proxy, wait_until
+from tests.proxy_harness import Backend, Client, run_test, synced_proxy, wait_until
 
 Outcome = api.Outcome
 
@@ -17,7 +17,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.response_delay_s = 0.02
-        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 3}) as harness:
+        async with synced_proxy([backend.make_entry("b")], bounds={"mostTries": 3}) as harness:
             balancer = harness.proxy.driver.balancer
             client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for _ in range(30):
@@ -38,14 +38,14 @@
             assert balancer.host_set.zones["z"].in_flight == 0
             assert balancer.host_set.servers["b"].ejections == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_hung_call_that_may_run_only_once_is_not_retried() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.response_delay_s = 0.02
-        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 3}) as harness:
+        async with synced_proxy([backend.make_entry("b")], bounds={"mostTries": 3}) as harness:
             balancer = harness.proxy.driver.balancer
             client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for _ in range(30):
@@ -64,4 +64,4 @@
                 Outcome.TIMEOUT
             ]
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -11,7 +11,7 @@
 from tests.balancer_harness import (
     Actions,
     BalancerHarness,
-    expect_single_refusal,
+    expect_only_refusal,
     make_endpoint,
     make_settings,
 )
@@ -29,7 +29,7 @@
     settings = make_settings(
         classes=(BORROW, RENEW, READ), rules=api.Rules(poll_interval_ms=10000, key_cooldown_ms=COOLDOWN_MS))
     new_harness = BalancerHarness(settings)
-    new_harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    new_harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     return new_harness
 
 
@@ -83,7 +83,7 @@
 
 
 def test_the_next_request_is_sent_at_once_if_the_first_did_not_run(harness: BalancerHarness) -> None:
-    harness.update_endpoints([make_endpoint("a0")])
+    harness.feed_list([make_endpoint("a0")])
     harness.start_request("borrow", key="k")
     harness.start_request("borrow", key="k")
     actions: Actions = []
@@ -99,7 +99,7 @@
     (timer,) = actions
     assert isinstance(timer, api.SetTimer)
     assert timer.at_ms <= harness.now_ms + 300
-    assert expect_single_refusal(fire_timer(harness, timer.token, 300)).request == "r2"
+    assert expect_only_refusal(fire_timer(harness, timer.token, 300)).request == "r2"
     assert sent_requests(harness.end_attempt(Outcome.OK, request="r1")) == []
     assert not harness.balancer.key_queues
 
@@ -131,6 +131,6 @@
     """Recursion per queued request would exceed the depth of the stack."""
     for _ in range(3000):
         harness.start_request("borrow", key="k")
-    harness.update_endpoints([])
+    harness.feed_list([])
     actions = harness.end_attempt(Outcome.OK, request="r1")
     assert sum(isinstance(a, api.Refuse) for a in actions) == 2999
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -17,7 +17,7 @@
     make_config,
     make_response,
     received_lists,
-    run_with_timeout,
+    run_test,
     started_proxy,
     synced_proxy,
     wait_for_list,
@@ -50,7 +50,7 @@
     """
     async def main() -> None:
         leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
+        rows = [leaves.make_entry("leaves"), stays.make_entry("stays")]
         async with started_proxy(rows, discovery=mode) as harness:
             harness.proxy.watch.watch()
             await with_timeout(harness.discovery.request_received.wait())
@@ -68,7 +68,7 @@
                     assert await client.read_status() == 503
                 # goes to the call that fell silent: nobody reads it
                 harness.discovery.responses.put_nowait(make_response())
-            harness.discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
+            harness.discovery.publish(2, leaves.make_entry("leaves", lifecycle="draining"))
             await wait_for_list(harness, 2)
             assert await client.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
             assert leaves.requests == stays.requests == []
@@ -78,7 +78,7 @@
             assert leaves.requests == []
         for backend in (leaves, stays):
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -87,7 +87,7 @@
     """From then on nothing is sent until a list comes: draining backends may answer calls, too."""
     async def main() -> None:
         leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
+        rows = [leaves.make_entry("leaves"), stays.make_entry("stays")]
         contract = {"askEveryMs": 1e6, "stopSendingWithinMs": 2e6}
         report = {"fields": [], "how": "silent"}
         async with started_proxy(rows, discovery=mode, contract=contract, report=report) as harness:
@@ -135,14 +135,14 @@
             assert await client.read_status() == 200
         for backend in (leaves, stays):
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_while_the_agent_of_pushed_lists_is_down_nothing_gets_overdue() -> None:
     """It takes calls and is silent, and learns nothing; where discovery is asked it cannot be told apart."""
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.discovery_entry("b")]) as harness:
+        async with synced_proxy([backend.make_entry("b")]) as harness:
             watch = harness.proxy.watch
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             watch._poll_timed_out()
@@ -160,14 +160,14 @@
             watch._expiry_reached()
             assert watch.expiry.overdue
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_what_waits_for_its_connection_when_the_list_gets_overdue_is_withdrawn() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy(
-            [backend.discovery_entry("b")], bounds={"connectTimeoutMs": 60000.0}
+            [backend.make_entry("b")], bounds={"connectTimeoutMs": 60000.0}
         ) as harness:
             gate = GatedLoop(harness.proxy.pool.loop)
             harness.proxy.pool.loop = gate  # type: ignore[assignment]
@@ -180,7 +180,7 @@
             await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert backend.requests == []
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_what_cannot_be_reached_tells_nothing_and_what_moves_has_4_s() -> None:
@@ -210,7 +210,7 @@
         assert harness.task is not None
         harness.task.cancel()
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -224,7 +224,7 @@
     """
     async def main() -> None:
         leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
+        rows = [leaves.make_entry("leaves"), stays.make_entry("stays")]
         pauses = {"askEveryMs": 1e6}  # the module's pause after a failed call is up to a fifth of that
         async with started_proxy(rows, discovery=mode, contract=pauses) as harness:
             harness.proxy.watch.watch()
@@ -243,7 +243,7 @@
             assert api.ListKind.FAILED not in [e.kind for e in received_lists(harness)]
             # goes to the call that fell silent, and nobody reads it
             harness.discovery.responses.put_nowait(make_response())
-            harness.discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
+            harness.discovery.publish(2, leaves.make_entry("leaves", lifecycle="draining"))
             await wait_until(lambda: len(harness.discovery.request_lines) == out + 2)
             assert b"?after=2&wait_ms=4000 " in harness.discovery.request_lines[out + 1]
             client = await Client.connect(harness.port)
@@ -253,7 +253,7 @@
             assert (len(leaves.requests), len(stays.requests)) == (0, 12)
         for backend in (leaves, stays):
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_call_that_comes_too_late_to_go_on_with_a_watch_does_not_wait() -> None:
@@ -286,4 +286,4 @@
         assert harness.task is not None
         harness.task.cancel()
         await discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -19,7 +19,7 @@
 from tests.balancer_harness import (
     TWO_ZONE_ENDPOINTS,
     BalancerHarness,
-    expect_single_refusal,
+    expect_only_refusal,
     expect_single_send,
 )
 from tests.proxy_harness import (
@@ -28,7 +28,7 @@
     ProxyHarness,
     discovery_entry,
     make_response,
-    run_with_timeout,
+    run_test,
     started_proxy,
     synced_proxy,
     wait_until,
@@ -86,9 +86,9 @@
     # nor may it wait longer for a connection
     assert expect_single_send(harness.start_request()).send_within_ms == 100.0
     harness.now_ms += 100.0
-    expect_single_refusal(harness.start_request())
-    harness.update_endpoints([], api.ListKind.FAILED)
-    expect_single_refusal(harness.start_request())
+    expect_only_refusal(harness.start_request())
+    harness.feed_list([], api.ListKind.FAILED)
+    expect_only_refusal(harness.start_request())
     harness.feed(api.ListExpiryChanged(harness.now_ms + 50.0))
     expect_single_send(harness.start_request())
 
@@ -118,7 +118,7 @@
     async def main() -> None:
         async with world_after_late_answer(mode) as harness:
             assert remaining_s(harness) <= (MAX_AGE_MS - TRANSIT_MS) / 1000.0
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_poll_rejected_in_the_queue_does_not_prove_that_the_watch_was_active() -> None:
@@ -134,7 +134,7 @@
             harness.discovery.responses.put_nowait(make_response(503))
             await wait_until(lambda: harness.proxy.watch.poll is None)
             assert harness.proxy.watch.freshness.expires_ms == expires_ms
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("ends", ["whole", "cut"])
@@ -143,13 +143,13 @@
     async def main() -> None:
         removed, kept = await Backend().start(), await Backend().start()
         async with synced_proxy(
-            [removed.discovery_entry("removed"), kept.discovery_entry("kept")]
+            [removed.make_entry("removed"), kept.make_entry("kept")]
         ) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             changes = {
                 "generation": 2,
                 "reset": False,
-                "instances": [removed.discovery_entry("removed", lifecycle="removed")],
+                "instances": [removed.make_entry("removed", lifecycle="removed")],
             }
             answer = make_response(200, json.dumps(changes).encode())
             harness.discovery.responses.put_nowait(answer[:-20])
@@ -174,7 +174,7 @@
             assert (len(removed.requests), len(kept.requests)) == (0, 12)
         for backend in (removed, kept):
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_agent_that_has_begun_its_answer_is_not_considered_down() -> None:
@@ -192,7 +192,7 @@
             watch.poll.sent_ms -= 1000.0
             watch._expiry_reached()
             assert watch.expiry.overdue
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
@@ -209,4 +209,4 @@
             await asyncio.sleep(0.002)
             watch._connect_failed(OSError(error_number, "x"))
             assert (watch.freshness.expires_ms > expires_ms) == (error_number == errno.ECONNREFUSED)
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -26,7 +26,7 @@
 
 def test_failed_connections_eject_a_server_and_a_trial_call_readmits_it() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     end_calls_at(harness, "a0", api.Outcome.CONNECT_FAILED, 2)
     assert "a0" not in harness.run_requests(300)
     harness.now_ms += 4000
@@ -37,7 +37,7 @@
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.RESET, api.Outcome.TIMEOUT])
 def test_one_broken_or_silent_connection_does_not_eject_the_server(outcome: api.Outcome) -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     harness.run_requests(100)
     end_calls_at(harness, "a0", outcome, 1)
     assert "a0" in harness.run_requests(300)
@@ -48,7 +48,7 @@
     """Connect timeouts at all servers must not empty all zones: they do not show that a process is dead."""
     for outcome, ejected in ((api.Outcome.CONNECT_FAILED, 3), (api.Outcome.CONNECT_TIMEOUT, 1)):
         harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=1)))
-        harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
+        harness.feed_list(TWO_ZONE_ENDPOINTS[:4])
         harness.run_requests(100)
         servers = harness.balancer.host_set.servers
         for name in list(servers)[:3]:
@@ -58,7 +58,7 @@
 
 def test_consecutive_errors_eject_a_server() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b"), make_endpoint("b1", "b")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("b0", "b"), make_endpoint("b1", "b")])
     harness.run_requests(4, api.Outcome.ERROR)
     assert set(harness.run_requests(50)) == {"b0", "b1"}
 
@@ -66,7 +66,7 @@
 def test_errors_of_a_tier_behind_all_servers_do_not_empty_a_zone() -> None:
     """Errors that all servers return are not their own, and the other zones could not serve all calls."""
     harness = BalancerHarness()
-    harness.update_endpoints(
+    harness.feed_list(
         [make_endpoint("a0"), make_endpoint("a1"), make_endpoint("b0", "b"), make_endpoint("b1", "b")]
     )
     harness.run_requests(40, api.Outcome.ERROR)
@@ -78,7 +78,7 @@
 def test_the_only_failing_server_is_ejected_while_another_is_ejected() -> None:
     """Otherwise it would attract most calls, because it fails fast and so always has free capacity."""
     harness = BalancerHarness()
-    harness.update_endpoints(
+    harness.feed_list(
         [make_endpoint(f"a{i}") for i in range(2)] + [make_endpoint(f"b{i}", "b") for i in range(2)]
     )
     harness.run_requests(200)
@@ -95,7 +95,7 @@
 
 def test_one_error_does_not_eject() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("b0", "b")])
     harness.run_requests(1, api.Outcome.ERROR)
     assert set(harness.run_requests(50)) == {"a0"}
 
@@ -116,7 +116,7 @@
 def test_a_slow_server_is_ejected() -> None:
     """An overloaded server that keeps answering must not keep its share of the calls."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     answer_calls(harness, 100, set())
     answer_calls(harness, 60, {"a0"})
     assert "a0" not in answer_calls(harness, 40, {"a0"})
@@ -124,7 +124,7 @@
 
 def test_a_zone_whose_servers_are_all_slow_is_not_emptied() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     answer_calls(harness, 100, set())
     all_servers = {f"a{i}" for i in range(6)}
     for _ in range(50):
@@ -137,7 +137,7 @@
 def test_a_server_that_times_out_for_one_class_is_ejected_for_that_class_alone() -> None:
     """A server may answer one class and leave the calls of another unanswered."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     harness.run_requests(100)
     silent_server = "a0"
     # As if the call before had failed too.
@@ -161,7 +161,7 @@
 def test_a_server_that_fails_one_class_is_ejected_for_that_class_alone() -> None:
     """A successful trial call of another class must not readmit the server for the class that it fails."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(4)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(4)])
     sent = {"read": 0, "write": 0}
     for i in range(1200):
         class_name = ("read", "write")[i % 2]
@@ -178,7 +178,7 @@
 def test_a_class_that_times_out_at_all_servers_is_still_sent() -> None:
     """Timeouts of a class everywhere must not leave it without a usable server."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("b0", "b")])
     for _ in range(2):
         harness.start_request("write")
         harness.end_attempt(api.Outcome.TIMEOUT, after_ms=2000)
@@ -188,7 +188,7 @@
 def test_a_server_that_rejects_a_call_is_ejected_for_a_short_time() -> None:
     """A full server that is sent a new call whenever it finishes one stays full (incident ie6e9de)."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     full_server = expect_single_send(harness.start_request()).endpoint
     harness.end_attempt(api.Outcome.REJECTED, request_finished=True)
     assert full_server not in harness.run_requests(300)
--- a/tests/test_retry_safety.py
+++ b/tests/test_retry_safety.py
@@ -20,7 +20,7 @@
     ONCE_CLASS,
     REPEATABLE_CLASS,
     BalancerHarness,
-    expect_single_refusal,
+    expect_only_refusal,
     expect_single_send,
     make_endpoint,
     make_settings,
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("outcome", MAY_HAVE_EXECUTED)
 def test_a_once_request_that_may_have_run_is_not_retried(outcome: api.Outcome) -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     harness.start_request("write")
     assert harness.end_attempt(outcome) == [api.Fail("r1")]
 
@@ -48,7 +48,7 @@
 @pytest.mark.parametrize("outcome", NOT_EXECUTED)
 def test_a_once_request_that_did_not_run_is_retried_at_another_endpoint(outcome: api.Outcome) -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     first = expect_single_send(harness.start_request("write")).endpoint
     assert expect_single_send(harness.end_attempt(outcome)).endpoint != first
 
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("outcome", MAY_HAVE_EXECUTED)
 def test_a_keyed_retry_stays_in_the_cell_of_the_first_attempt(outcome: api.Outcome) -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     cells = {e.id: e.cell for e in CELLS}
     first = expect_single_send(harness.start_request("keyed")).endpoint
     assert cells[expect_single_send(harness.end_attempt(outcome)).endpoint] == cells[first]
@@ -69,7 +69,7 @@
     after_ms: float, time_to_send_ms: float, expected_ms: float,
 ) -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("a1")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("a1")])
     assert expect_single_send(harness.start_request("keyed")).send_within_ms == math.inf
     repeat = expect_single_send(
         harness.end_attempt(Outcome.RESET, after_ms=after_ms, time_to_send_ms=time_to_send_ms)
@@ -79,24 +79,24 @@
 
 def test_a_keyed_request_past_its_window_is_not_retried() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     harness.start_request("keyed")
     assert harness.end_attempt(Outcome.ERROR, after_ms=KEYED_CLASS.dedupe_window_ms) == [api.Fail("r1")]
 
 
 def test_attempts_stop_at_the_limit() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     harness.start_request()
     assert expect_single_send(harness.end_attempt(Outcome.CONNECT_FAILED, 0))
     assert expect_single_send(harness.end_attempt(Outcome.CONNECT_FAILED, 1))
-    assert expect_single_refusal(harness.end_attempt(Outcome.CONNECT_FAILED, 2)).request == "r1"
+    assert expect_only_refusal(harness.end_attempt(Outcome.CONNECT_FAILED, 2)).request == "r1"
 
 
 def test_the_retry_budget_limits_retries() -> None:
     """Prevents retry storms: if every attempt fails, retries stay few compared with first attempts."""
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     retries = 0
     for _ in range(300):
         harness.start_request()
@@ -112,27 +112,27 @@
 
 def test_requests_are_refused_until_the_first_endpoint_list() -> None:
     harness = BalancerHarness()
-    assert expect_single_refusal(harness.start_request()).request == "r1"
-    harness.update_endpoints(CELLS)
+    assert expect_only_refusal(harness.start_request()).request == "r1"
+    harness.feed_list(CELLS)
     assert expect_single_send(harness.start_request())
 
 
 @pytest.mark.parametrize("remaining", [0.0, -5.0])
 def test_a_request_past_its_deadline_is_refused_at_once(remaining: float) -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
-    assert expect_single_refusal(harness.start_request(remaining_ms=remaining)).request == "r1"
+    harness.feed_list(CELLS)
+    assert expect_only_refusal(harness.start_request(remaining_ms=remaining)).request == "r1"
 
 
 def test_a_request_of_an_unknown_class_fails() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     assert harness.start_request("mystery") == [api.Fail("r1")]
 
 
 def test_events_of_unknown_requests_and_timers_are_ignored() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     harness.start_request()
     assert harness.feed(api.RequestAbandoned("r1")) == []
     assert harness.end_attempt(Outcome.TIMEOUT) == []
@@ -146,7 +146,7 @@
 
 def test_a_timeout_at_the_deadline_is_answered() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     harness.start_request("write")
     assert harness.end_attempt(Outcome.TIMEOUT, after_ms=2000.0) == [api.Fail("r1")]
 
@@ -433,7 +433,7 @@
     """In no window does one balancer send a cold server more than its share, plus a margin for chance."""
     harness = BalancerHarness()
     start = harness.now_ms
-    harness.update_endpoints(
+    harness.feed_list(
         [make_endpoint("a0", started_ms=start), *(make_endpoint(f"a{i}") for i in range(1, 5))]
     )
     sent: list[float] = []
@@ -454,7 +454,7 @@
 
 def test_the_end_of_an_unknown_attempt_is_ignored() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(CELLS)
+    harness.feed_list(CELLS)
     harness.start_request()
     assert harness.end_attempt(Outcome.ERROR, attempt=-1) == []
     assert harness.end_attempt(Outcome.ERROR, attempt=7) == []
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from honeywharf import interface as api
-from tests.proxy_harness import Backend, Client, make_response, run_with_timeout, synced_proxy
+from tests.proxy_harness import Backend, Client, make_response, run_test, synced_proxy
 
 USUAL_LATENCY_S = 0.25  # far more than the short deadline
 SHORT_DEADLINE = "70m"  # 70 ms
@@ -17,7 +17,7 @@
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
         async with synced_proxy(
-            [b.discovery_entry(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
+            [b.make_entry(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
         ) as harness:
             balancer = harness.proxy.driver.balancer
             client = await Client.connect(harness.port)
@@ -43,7 +43,7 @@
             assert {name: zone.limit for name, zone in balancer.host_set.zones.items()} == before
         for backend in backends:
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_server_that_fails_calls_with_long_deadlines_is_ejected() -> None:
@@ -51,7 +51,7 @@
         backends = [await Backend().start() for _ in range(3)]
         backends[0].default_response = make_response(500)
         async with synced_proxy(
-            [b.discovery_entry(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
+            [b.make_entry(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
         ) as harness:
             client = await Client.connect(harness.port)
             for _ in range(60):
@@ -60,4 +60,4 @@
             assert harness.proxy.driver.balancer.host_set.servers["b0"].ejections > 0
         for backend in backends:
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -20,7 +20,7 @@
     ProxyHarness,
     RecordingCall,
     make_response,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
     with_timeout,
@@ -75,7 +75,7 @@
     """A running proxy with one backend; its connections with these numbers come up only once they are let."""
     backend = await Backend().start()
     changes = {"bounds": {"connectTimeoutMs": 60000.0}, **changes}
-    async with synced_proxy([backend.discovery_entry("b")], **changes) as harness:
+    async with synced_proxy([backend.make_entry("b")], **changes) as harness:
         loop = Late(harness.proxy.loop, *late)
         harness.proxy.pool.loop = loop  # type: ignore[assignment]
         yield harness, backend, loop
@@ -100,7 +100,7 @@
         assert sorted(body for _, _, body in backend.requests) == sorted(
             [b"once", *[b"%d" % i for i in range(late)]])
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_backend_whose_first_connection_never_comes_up_serves_the_request() -> None:
@@ -111,7 +111,7 @@
             assert await client.read_status() == 200
             assert [e.outcome for e in harness.ended_attempts()] == [Outcome.OK]
             assert len(backend.requests) == 1
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_backend_that_closes_after_each_answer_is_reached_past_late_connections() -> None:
@@ -124,7 +124,7 @@
                 assert await client.read_status() == 200
             assert {e.outcome for e in harness.ended_attempts()} == {Outcome.OK}
             assert (loop.dialled, len(backend.requests)) == (5, 3)
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_call_that_waits_takes_a_connection_that_another_call_frees() -> None:
@@ -141,7 +141,7 @@
         assert (first.outcomes, second.outcomes, loop.dialled) == ([Outcome.OK], [Outcome.OK], 2)
         assert [body for _, _, body in backend.requests] == [b"first", b"second"]
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_further_connections_keep_to_the_bound_and_close_no_idle_one() -> None:
@@ -161,7 +161,7 @@
         assert call.outcomes == [Outcome.OK]
         await backend.stop()
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_backend_that_never_comes_up_is_dialled_ever_more_rarely() -> None:
@@ -182,7 +182,7 @@
         await with_timeout(call.finished.wait())
         assert (call.outcomes, pool.backends["b"].late_in_a_row) == ([Outcome.OK], 0)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_backend_that_refuses_while_a_connection_is_late_is_not_dialled_over_and_over() -> None:
@@ -194,7 +194,7 @@
         await with_timeout(call.finished.wait())
         assert (call.outcomes, loop.dialled) == ([Outcome.CONNECT_FAILED], 2)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_lack_of_descriptors_ends_no_call_whose_connection_still_comes_up() -> None:
@@ -212,7 +212,7 @@
         await with_timeout(call.finished.wait())
         assert (call.outcomes, pool.count) == ([Outcome.NOT_SENT], 1)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("change", ["drains", "leaves", "starts anew", "moves"])
@@ -238,7 +238,7 @@
         assert (pool.count, backend.requests, other.requests) == (0, [], [])
         await backend.stop()
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_client_that_leaves_while_several_connections_come_up_has_nothing_sent_on() -> None:
@@ -257,7 +257,7 @@
             ]
             assert (loop.dialled, len(harness.proxy.pool.backends["b"].idle)) == (dialled, dialled)
             assert backend.requests == []
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_call_whose_time_runs_out_before_it_left_has_run_nothing() -> None:
@@ -272,7 +272,7 @@
             loop.let.set()
             await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert backend.requests == []
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("late", [True, False])
@@ -297,7 +297,7 @@
             assert first.outcome is Outcome.ERROR
             assert second.outcome is (Outcome.NOT_SENT if late else Outcome.OK)
             assert len(backend.requests) == (1 if late else 2)
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_patience_follows_the_quicker_connections_and_survives_many_late_ones() -> None:
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -16,7 +16,7 @@
     Discovery,
     ProxyHarness,
     make_config,
-    run_with_timeout,
+    run_test,
     wait_until,
 )
 
@@ -63,7 +63,7 @@
         backend = await Backend().start()
 
         def rows(started_ms: float) -> list[dict[str, object]]:
-            return [backend.discovery_entry(f"b{i}", startedAtMs=int(started_ms)) for i in range(BACKENDS)]
+            return [backend.make_entry(f"b{i}", startedAtMs=int(started_ms)) for i in range(BACKENDS)]
 
         worlds: list[ProxyHarness] = []
         clients: list[Client] = []
@@ -109,4 +109,4 @@
             world.proxy.frontend.stop_listening()
             await world.discovery.stop()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
