--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -129,7 +129,7 @@
             self.writers.discard(writer)
             writer.close()
 
-    def make_entry(
+    def discovery_entry(
         self, name: str, zone: str = "z", lifecycle: str = "up", **changes: Any
     ) -> dict[str, Any]:
         """Return an entry of discovery's list that points to this backend."""
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -101,7 +101,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             # The first request leaves an idle connection to the backend.
             first_client = BlockingClient(harness, disconnect_mode)
             first_client.send("warm")
@@ -123,7 +123,7 @@
 def test_nothing_is_sent_on_a_connection_established_as_the_client_disconnects(disconnect_mode: str) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = BlockingClient(harness, disconnect_mode)
             harness.proxy.pool.loop = DisconnectingLoop(harness.proxy.loop, client)  # type: ignore[assignment]
             client.send("r0")
@@ -143,7 +143,7 @@
     """Most of the response to the first of two pipelined requests is still in the proxy's write buffer."""
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = BlockingClient(harness, "cancels")
             await wait_until(lambda: bool(harness.proxy.frontend.connections))
             (connection,) = harness.proxy.frontend.connections
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -59,7 +59,7 @@
         backend = await Backend().start()
         cut = isinstance(step, bytes) and outcome is Outcome.RESET
         backend.scripted_responses = [step]
-        async with synced_proxy([backend.make_entry("b")], bounds={"mostTries": 1}) as harness:
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 1}) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
@@ -253,7 +253,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("pay", time_left="300m")
             assert await client.read_status() == 502
@@ -268,7 +268,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = make_response(200, bytes(range(256)) * 256)
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             body = bytes(reversed(range(256))) * 256
             name = client.send("order", body, "4000m", "X-Account: acme", "Cookie: sid=7")
@@ -336,7 +336,7 @@
 def test_connections_are_kept_and_one_carries_one_request_at_a_time() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             for _ in range(5):
                 client.send()
@@ -357,7 +357,7 @@
 def test_a_kept_connection_that_saw_its_end_or_stray_bytes_is_not_used_again(stray: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
@@ -381,7 +381,7 @@
             make_response(200, b"x", b"Connection: close"),
             make_response(200, b"y"),
         ]
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             for number in (1, 2):
                 client.send()
@@ -395,7 +395,7 @@
     async def main() -> None:
         backend = await Backend().start()
         # 50 ms short of the margin
-        async with synced_proxy([backend.make_entry("b")], bounds={"connIdleMs": 800.0}) as harness:
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"connIdleMs": 800.0}) as harness:
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
@@ -412,7 +412,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
@@ -432,7 +432,7 @@
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy(
-            [backend.make_entry("b")], bounds={"connectTimeoutMs": 60000.0}
+            [backend.discovery_entry("b")], bounds={"connectTimeoutMs": 60000.0}
         ) as harness:
             pool = harness.proxy.pool
             gate = GatedLoop(pool.loop)
@@ -485,7 +485,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [make_response(200, b"pending=4,busy_reqs=5")]
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             harness.proxy.driver._execute(api.Probe("b"))
             await wait_until(lambda: any(isinstance(e, api.ProbeEnded) for e in harness.events))
             (event,) = [e for e in harness.events if isinstance(e, api.ProbeEnded)]
@@ -503,7 +503,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort"]
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("order")
             assert await client.read_status() == 200
@@ -547,7 +547,7 @@
             make_response(200, b"one") + make_response(200, b"copy"),
             make_response(200, b"two"),
         ]
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             for body in (b"one", b"two"):
                 client.send()
@@ -596,7 +596,7 @@
         backend.default_response = None
         body = os.urandom(400_000)
         whole = make_response(200, body)
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             await with_timeout(backend.request_received.wait())
@@ -619,7 +619,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")], bounds={"mostTries": 1}) as harness:
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 1}) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -99,15 +99,15 @@
 def test_a_drained_backend_gets_nothing_new_and_a_full_list_replaces() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
-        async with synced_proxy([one.make_entry("one"), two.make_entry("two")]) as harness:
+        async with synced_proxy([one.discovery_entry("one"), two.discovery_entry("two")]) as harness:
             client = await Client.connect(harness.port)
-            harness.discovery.publish(2, one.make_entry("one", lifecycle="draining"))
+            harness.discovery.publish(2, one.discovery_entry("one", lifecycle="draining"))
             await wait_for_list(harness, 2)
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 200
             assert one.requests == []
-            harness.discovery.publish(3, one.make_entry("one"), reset=True)
+            harness.discovery.publish(3, one.discovery_entry("one"), reset=True)
             event = await wait_for_list(harness, 3)
             assert event.kind is api.ListKind.FULL
             assert not harness.proxy.pool.has_endpoint("two")
@@ -124,11 +124,11 @@
 def test_idle_connections_to_what_has_left_or_started_anew_are_closed(change: dict[str, Any]) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
-            harness.discovery.publish(2, {**backend.make_entry("b"), **change})
+            harness.discovery.publish(2, {**backend.discovery_entry("b"), **change})
             await wait_for_list(harness, 2)
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert harness.proxy.pool.has_endpoint("b") == (change.get("lifecycle") != "removed")
@@ -140,11 +140,11 @@
     async def main() -> None:
         old, new = await Backend().start(), await Backend().start()
         old.default_response = None
-        async with synced_proxy([old.make_entry("b")]) as harness:
+        async with synced_proxy([old.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             await with_timeout(old.request_received.wait())
-            harness.discovery.publish(2, new.make_entry("b"))
+            harness.discovery.publish(2, new.discovery_entry("b"))
             await wait_for_list(harness, 2)
             for writer in list(old.writers):
                 writer.write(make_response())
@@ -328,7 +328,7 @@
         discovery = await Discovery().start()
         port = discovery.port
         await discovery.stop()
-        rows = [leaves.make_entry("leaves"), stays.make_entry("stays")]
+        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
         harness = ProxyHarness(make_config(port, rows, contract={"stopSendingWithinMs": 120.0}), discovery)
         await harness.start()
         await wait_until(lambda: harness.proxy.watch.failures >= 8)  # its pause has grown as far as it will
@@ -337,7 +337,7 @@
         assert timer is not None
         assert timer.when() - now <= 0.07
         await discovery.start(port)
-        discovery.publish(2, leaves.make_entry("leaves", lifecycle="draining"))
+        discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
         await wait_for_list(harness, 2)
         client = await Client.connect(harness.port)
         client.send()
--- a/tests/test_discovery_address_change.py
+++ b/tests/test_discovery_address_change.py
@@ -35,7 +35,7 @@
     async def main() -> None:
         backend, other = await Backend().start(), await Discovery().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             client = await Client.connect(harness.port)
             client.send()
@@ -110,13 +110,13 @@
     async def main() -> None:
         backend, other = await Backend().start(), await Discovery().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             await with_timeout(backend.request_received.wait())
             harness.proxy.drain()
             harness.proxy.watch.change_address(("127.0.0.1", other.port))
-            other.publish(1, backend.make_entry("b"))
+            other.publish(1, backend.discovery_entry("b"))
             await moved(harness, other)
             for writer in list(backend.writers):
                 writer.write(make_response())
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -43,7 +43,7 @@
 def test_bad_input_is_answered_by_the_proxy_and_sent_nowhere(raw: bytes, status: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             assert await client.round_trip(raw) == status
             assert await client.reaches_eof()
@@ -59,7 +59,7 @@
 def test_an_unknown_path_is_not_found_and_the_connection_stays(path: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             assert await client.round_trip(b"OPTIONS " + path + b" HTTP/1.1\r\n" + HEAD + b"\r\n") == 404
             client.send()
@@ -76,7 +76,7 @@
             make_response(200, b"two"),
             make_response(200, b"three"),
         ]
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             names = [client.send() for _ in range(3)]
             assert [(await client.read_response())[2] for _ in names] == [b"one", b"two", b"three"]
@@ -90,7 +90,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for k in range(number):
                 client.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"abc", b"abc%d" % k) + b"\r\n")
@@ -118,7 +118,7 @@
     """It is read and thrown away for a while, since closing on unread bytes would take the answer back."""
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.writer.write(raw)
             assert await client.read_status() >= 400
@@ -133,7 +133,7 @@
 def test_a_last_answer_arrives_though_more_was_sent_behind_the_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("read", b"", "4000m", "Connection: close")
             client.writer.write(b"x" * 100_000)
@@ -163,7 +163,7 @@
 def test_a_time_left_of_years_is_held_to_the_deadline_of_the_class() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("read", b"", "999999999999m")
             assert await client.read_status() == 200
@@ -179,7 +179,7 @@
 def test_a_sound_request_is_answered_before_the_malformed_one_behind_it() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             client.writer.write(b"nonsense\r\n\r\n")
@@ -193,7 +193,7 @@
 def test_a_client_that_asks_for_it_is_told_to_go_on() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.writer.write(
                 b"POST /api HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n"
@@ -211,7 +211,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")], bounds={"openCap": 1}) as harness:
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"openCap": 1}) as harness:
             first, second = await Client.connect(harness.port), await Client.connect(harness.port)
             first.send()
             await with_timeout(backend.request_received.wait())
@@ -226,7 +226,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             first, second = await Client.connect(harness.port), await Client.connect(harness.port)
             first.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n")
             await with_timeout(backend.request_received.wait())
@@ -245,7 +245,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             harness.proxy.frontend.max_connections = 3
             idle, busy = await Client.connect(harness.port), await Client.connect(harness.port)
             idle.send()
@@ -286,7 +286,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             front = harness.proxy.frontend
             front.max_connections = 8
             busy = await Client.connect(harness.port)
@@ -312,7 +312,7 @@
 
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             idle, slow = await Client.connect(harness.port), await Client.connect(harness.port)
             idle.send()
             assert await idle.read_status() == 200
@@ -328,7 +328,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             busy, idle = await Client.connect(harness.port), await Client.connect(harness.port)
             assert await idle.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
             busy.send()
@@ -357,7 +357,7 @@
     """The loop is late, every time: the caller comes in the very turn in which the listener's time is up."""
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             harness.proxy.drain()
             with socket.create_connection(("127.0.0.1", harness.port)) as late:
                 late.sendall(
@@ -383,7 +383,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = make_response(200, b"x" * 900_000 + b"end")
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             loop = asyncio.get_running_loop()
             late = await Client.connect(harness.port)
             late.writer.write(b"GET /api HTTP/1.1\r\n")
@@ -424,7 +424,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -17,7 +17,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.response_delay_s = 0.02
-        async with synced_proxy([backend.make_entry("b")], bounds={"mostTries": 3}) as harness:
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 3}) as harness:
             balancer = harness.proxy.driver.balancer
             client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for _ in range(30):
@@ -45,7 +45,7 @@
     async def main() -> None:
         backend = await Backend().start()
         backend.response_delay_s = 0.02
-        async with synced_proxy([backend.make_entry("b")], bounds={"mostTries": 3}) as harness:
+        async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 3}) as harness:
             balancer = harness.proxy.driver.balancer
             client, other = await Client.connect(harness.port), await Client.connect(harness.port)
             for _ in range(30):
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -50,7 +50,7 @@
     """
     async def main() -> None:
         leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.make_entry("leaves"), stays.make_entry("stays")]
+        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
         async with started_proxy(rows, discovery=mode) as harness:
             harness.proxy.watch.watch()
             await with_timeout(harness.discovery.request_received.wait())
@@ -68,7 +68,7 @@
                     assert await client.read_status() == 503
                 # goes to the call that fell silent: nobody reads it
                 harness.discovery.responses.put_nowait(make_response())
-            harness.discovery.publish(2, leaves.make_entry("leaves", lifecycle="draining"))
+            harness.discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
             await wait_for_list(harness, 2)
             assert await client.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
             assert leaves.requests == stays.requests == []
@@ -87,7 +87,7 @@
     """From then on nothing is sent until a list comes: draining backends may answer calls, too."""
     async def main() -> None:
         leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.make_entry("leaves"), stays.make_entry("stays")]
+        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
         contract = {"askEveryMs": 1e6, "stopSendingWithinMs": 2e6}
         report = {"fields": [], "how": "silent"}
         async with started_proxy(rows, discovery=mode, contract=contract, report=report) as harness:
@@ -142,7 +142,7 @@
     """It takes calls and is silent, and learns nothing; where discovery is asked it cannot be told apart."""
     async def main() -> None:
         backend = await Backend().start()
-        async with synced_proxy([backend.make_entry("b")]) as harness:
+        async with synced_proxy([backend.discovery_entry("b")]) as harness:
             watch = harness.proxy.watch
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             watch._poll_timed_out()
@@ -167,7 +167,7 @@
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy(
-            [backend.make_entry("b")], bounds={"connectTimeoutMs": 60000.0}
+            [backend.discovery_entry("b")], bounds={"connectTimeoutMs": 60000.0}
         ) as harness:
             gate = GatedLoop(harness.proxy.pool.loop)
             harness.proxy.pool.loop = gate  # type: ignore[assignment]
@@ -224,7 +224,7 @@
     """
     async def main() -> None:
         leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.make_entry("leaves"), stays.make_entry("stays")]
+        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
         pauses = {"askEveryMs": 1e6}  # the module's pause after a failed call is up to a fifth of that
         async with started_proxy(rows, discovery=mode, contract=pauses) as harness:
             harness.proxy.watch.watch()
@@ -243,7 +243,7 @@
             assert api.ListKind.FAILED not in [e.kind for e in received_lists(harness)]
             # goes to the call that fell silent, and nobody reads it
             harness.discovery.responses.put_nowait(make_response())
-            harness.discovery.publish(2, leaves.make_entry("leaves", lifecycle="draining"))
+            harness.discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
             await wait_until(lambda: len(harness.discovery.request_lines) == out + 2)
             assert b"?after=2&wait_ms=4000 " in harness.discovery.request_lines[out + 1]
             client = await Client.connect(harness.port)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -143,13 +143,13 @@
     async def main() -> None:
         removed, kept = await Backend().start(), await Backend().start()
         async with synced_proxy(
-            [removed.make_entry("removed"), kept.make_entry("kept")]
+            [removed.discovery_entry("removed"), kept.discovery_entry("kept")]
         ) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             changes = {
                 "generation": 2,
                 "reset": False,
-                "instances": [removed.make_entry("removed", lifecycle="removed")],
+                "instances": [removed.discovery_entry("removed", lifecycle="removed")],
             }
             answer = make_response(200, json.dumps(changes).encode())
             harness.discovery.responses.put_nowait(answer[:-20])
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -17,7 +17,7 @@
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
         async with synced_proxy(
-            [b.make_entry(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
+            [b.discovery_entry(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
         ) as harness:
             balancer = harness.proxy.driver.balancer
             client = await Client.connect(harness.port)
@@ -51,7 +51,7 @@
         backends = [await Backend().start() for _ in range(3)]
         backends[0].default_response = make_response(500)
         async with synced_proxy(
-            [b.make_entry(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
+            [b.discovery_entry(f"b{i}") for i, b in enumerate(backends)], bounds={"mostTries": 1}
         ) as harness:
             client = await Client.connect(harness.port)
             for _ in range(60):
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -75,7 +75,7 @@
     """A running proxy with one backend; its connections with these numbers come up only once they are let."""
     backend = await Backend().start()
     changes = {"bounds": {"connectTimeoutMs": 60000.0}, **changes}
-    async with synced_proxy([backend.make_entry("b")], **changes) as harness:
+    async with synced_proxy([backend.discovery_entry("b")], **changes) as harness:
         loop = Late(harness.proxy.loop, *late)
         harness.proxy.pool.loop = loop  # type: ignore[assignment]
         yield harness, backend, loop
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -63,7 +63,7 @@
         backend = await Backend().start()
 
         def rows(started_ms: float) -> list[dict[str, object]]:
-            return [backend.make_entry(f"b{i}", startedAtMs=int(started_ms)) for i in range(BACKENDS)]
+            return [backend.discovery_entry(f"b{i}", startedAtMs=int(started_ms)) for i in range(BACKENDS)]
 
         worlds: list[ProxyHarness] = []
         clients: list[Client] = []
--- a/tests/test_stale_list_after_downtime.py
+++ b/tests/test_stale_list_after_downtime.py
@@ -86,7 +86,7 @@
     async def main() -> None:
         remaining, removed = await Backend().start(), await Backend().start()
         entries = [
-            (removed if i % REMOVED_EVERY == 0 else remaining).make_entry(f"s-{i:08x}")
+            (removed if i % REMOVED_EVERY == 0 else remaining).discovery_entry(f"s-{i:08x}")
             for i in range(SERVER_COUNT)
         ]
         changes = [{**entry, "lifecycle": "removed"} for entry in entries[::REMOVED_EVERY]]
@@ -126,7 +126,7 @@
     """SIGSTOP stops the process until its list has expired; when it resumes, a request is waiting."""
     async def main() -> None:
         removed, discovery = await Backend().start(), await Discovery().start()
-        entries = [removed.make_entry(f"s-{i:08x}") for i in range(SERVER_COUNT)]
+        entries = [removed.discovery_entry(f"s-{i:08x}") for i in range(SERVER_COUNT)]
         known = {"generation": 1, "reset": True, "instances": entries}
         # The first poll returns that nothing has changed. The next one never returns, so the proxy does not
         # learn of the removal.
