--- a/tests/balancer_harness.py
+++ b/tests/balancer_harness.py
@@ -1,4 +1,4 @@
-"""Builders of settings and endpoints, and a harness that feeds events to a balancer, without any I/O."""
+"""Builders of settings and endpoints, and a harness that feeds events to a balancer without any I/O."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class BalancerHarness:
-    """Feeds events to one balancer, keeps its clock and numbers its requests "r1", "r2" and so on."""
+    """Feeds events to one balancer on a simulated clock, and names its requests "r1", "r2" and so on."""
 
     def __init__(self, settings: api.Settings | None = None, seed: int = 7) -> None:
         self.balancer = Balancer(settings or make_settings(), seed)
@@ -56,6 +56,7 @@
     def feed_list(
         self, endpoints: Iterable[api.Endpoint], kind: api.ListKind = api.ListKind.FULL
     ) -> Actions:
+        """Feed a full list, changes of the list or, with the kind FAILED, a failed poll."""
         return self.feed(api.EndpointsListed(kind, tuple(endpoints)))
 
     def start_request(self, class_name: str = "read", remaining_ms: float = 2000, **changes: Any) -> Actions:
@@ -92,7 +93,7 @@
 
 
 def expect_only_refusal(actions: list[api.Action]) -> api.Refuse:
-    """Return the only action, which has to be a refusal that says when to retry."""
+    """Return the only action, which has to be a refusal; its retry delay is between 200 and 600 ms."""
     (action,) = actions
     assert isinstance(action, api.Refuse), actions
     assert 200.0 <= action.retry_after_ms <= 600.0
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -22,7 +22,7 @@
 T = TypeVar("T")
 # How long a test waits for something that has to happen, before it fails.
 WAIT_TIMEOUT_S = 20.0
-# The settings of the proxy under test, as they stand in its configuration file.
+# The settings of the proxy under test, in the format of its configuration file.
 SETTINGS: dict[str, Any] = {
     "bounds": {
         "mostTries": 3, "cancel": True, "secondCopies": True, "probes": True, "retryAfter": True,
@@ -45,12 +45,12 @@
 
 
 def run_test(main: Coroutine[Any, Any, T]) -> T:
-    """Run a test's coroutine on uvloop, as the real proxy runs, and fail if it takes too long."""
+    """Run the coroutine of a whole test on uvloop, as the real proxy runs; fail if it takes too long."""
     return uvloop.run(asyncio.wait_for(main, 3 * WAIT_TIMEOUT_S))
 
 
 async def with_timeout(awaitable: Awaitable[T]) -> T:
-    """Await something that has to happen, and fail after `WAIT_TIMEOUT_S`."""
+    """Await one step of a test that has to complete, and fail after `WAIT_TIMEOUT_S`."""
     return await asyncio.wait_for(awaitable, WAIT_TIMEOUT_S)
 
 
@@ -81,8 +81,8 @@
     """A backend that handles each request as the next entry of `scripted_responses` says.
 
     An entry is the bytes of a response, or None for no response at all, or "close" to close the connection
-    without a response. Once the script has run out, `default_response` says what to do. Each response is
-    delayed by `response_delay_s`.
+    without a response. Once no entry is left, `default_response` is used. Each response is delayed by
+    `response_delay_s`.
     """
 
     response_delay_s = 0.0
@@ -132,7 +132,7 @@
     def discovery_entry(
         self, name: str, zone: str = "z", lifecycle: str = "up", **changes: Any
     ) -> dict[str, Any]:
-        """Return an entry of discovery's list that points to this backend."""
+        """Build the endpoint entry of a discovery response for this backend, by the function of this name."""
         return discovery_entry(name, self.port, zone, lifecycle, **changes)
 
     async def stop(self) -> None:
@@ -145,7 +145,7 @@
 def discovery_entry(
     name: str, port: int, zone: str = "z", lifecycle: str = "up", **changes: Any
 ) -> dict[str, Any]:
-    """Build an entry of discovery's list, as JSON; `changes` replaces or adds keys."""
+    """Build an endpoint entry of a discovery response, as JSON; `changes` replaces or adds keys."""
     return {
         "instanceId": name, "hostPort": f"127.0.0.1:{port}", "zone": zone, "machineType": "k", "cell": 1,
         "lifecycle": lifecycle, "weight": 1.0, "startedAtMs": 0, **changes,
@@ -153,7 +153,7 @@
 
 
 class Discovery:
-    """A discovery service that holds each poll until a response is published, and keeps the request lines."""
+    """A discovery service that holds each poll until a response is published, and records request lines."""
 
     def __init__(self) -> None:
         self.request_lines: list[bytes] = []
@@ -169,7 +169,7 @@
         return self
 
     def publish(self, generation: int, *entries: dict[str, Any], reset: bool = False) -> None:
-        """Answer the current or next poll with these entries: changes, or the full list if `reset` is set."""
+        """Respond to the current or next poll with changes, or with the full list if `reset` is set."""
         body = json.dumps({"generation": generation, "reset": reset, "instances": entries}).encode()
         self.responses.put_nowait(make_response(200, body))
 
@@ -195,9 +195,10 @@
 
 
 def make_config(discovery_port: int, entries: list[dict[str, Any]], **changes: Any) -> config.Config:
-    """Build a proxy's configuration; `entries` is the endpoint list that it knows at the start.
+    """Build a proxy's configuration, with `entries` as its initial, cached endpoint list.
 
-    `changes` replaces settings by their key; of a group of settings, only the given keys are replaced.
+    `changes` overrides settings; nested groups of settings are merged. As an exception, `sockets` is no
+    setting, but the configured number of sockets.
     """
     max_sockets = changes.pop("sockets", 1024)
     settings = {
@@ -217,7 +218,7 @@
 
 
 class ProxyHarness:
-    """A proxy and its discovery service; records the events and actions of the proxy's decision module."""
+    """A proxy and its discovery service; records the events and actions of the proxy's balancer."""
 
     def __init__(self, proxy_config: config.Config, discovery: Discovery) -> None:
         self.proxy = Proxy(proxy_config, asyncio.get_running_loop())
@@ -246,10 +247,10 @@
     def ended_attempts(self) -> list[api.AttemptEnded]:
         return [event for event in self.events if isinstance(event, api.AttemptEnded)]
 
-    async def wait_for_ended_attempt(self, number: int = 1) -> api.AttemptEnded:
-        """Wait until this many attempts have ended, and return the last of them."""
-        await wait_until(lambda: len(self.ended_attempts()) >= number)
-        return self.ended_attempts()[number - 1]
+    async def wait_for_ended_attempt(self, count: int = 1) -> api.AttemptEnded:
+        """Wait until `count` attempts have ended, and return the last of these."""
+        await wait_until(lambda: len(self.ended_attempts()) >= count)
+        return self.ended_attempts()[count - 1]
 
 
 class GatedLoop:
@@ -283,20 +284,20 @@
 
 
 def received_lists(harness: ProxyHarness) -> list[api.EndpointsListed]:
-    """Return the decision module's list events, except empty changes, which only confirm the current list."""
+    """Return the list events that the balancer received, except those that only confirm the current list."""
     return [event for event in harness.events if isinstance(event, api.EndpointsListed)
             and (event.endpoints or event.kind is not api.ListKind.CHANGES)]
 
 
-async def wait_for_list(harness: ProxyHarness, number: int) -> api.EndpointsListed:
-    """Wait until this many list events have been received, and return the last of them."""
-    await wait_until(lambda: len(received_lists(harness)) >= number)
-    return received_lists(harness)[number - 1]
+async def wait_for_list(harness: ProxyHarness, count: int) -> api.EndpointsListed:
+    """Wait until `received_lists` has `count` events, and return the last of these."""
+    await wait_until(lambda: len(received_lists(harness)) >= count)
+    return received_lists(harness)[count - 1]
 
 
 @asynccontextmanager
 async def started_proxy(entries: list[dict[str, Any]], **changes: Any) -> AsyncIterator[ProxyHarness]:
-    """Run a proxy that knows these endpoints; its first poll waits until the test publishes a response."""
+    """Run a proxy with `entries` as its initial list; discovery holds its first poll until `publish`."""
     discovery = await Discovery().start()
     harness = ProxyHarness(make_config(discovery.port, entries, **changes), discovery)
     await harness.start()
@@ -315,7 +316,7 @@
 
 @asynccontextmanager
 async def synced_proxy(entries: list[dict[str, Any]], **changes: Any) -> AsyncIterator[ProxyHarness]:
-    """Run a proxy that knows these endpoints, and whose first poll has returned that nothing has changed."""
+    """Run a proxy with `entries` as its initial list, which the response to its first poll has confirmed."""
     async with started_proxy(entries, **changes) as harness:
         harness.discovery.publish(1)
         await wait_until(lambda: harness.proxy.watch.initialized)
--- a/tests/proxy_process.py
+++ b/tests/proxy_process.py
@@ -17,7 +17,7 @@
 
 
 def write_config(directory: Path, **changes: Any) -> dict[str, str]:
-    """Write a configuration file and return the environment that names it.
+    """Write a configuration file, and return environment variables with NODE_CONFIG set to its path.
 
     `changes` replaces top-level keys of the configuration.
     """
@@ -34,7 +34,8 @@
 class ProxyProcess:
     """A listening proxy process, killed at the end of its `with` block.
 
-    `descriptors` limits its open files; `changes` replaces top-level keys of its configuration.
+    `changes` replaces top-level keys of its configuration. As an exception, `descriptors` is no such key, but
+    the limit of its open files.
     """
 
     def __init__(self, directory: Path, **changes: Any) -> None:
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,9 @@
-"""Tests of the choice of a server, retries, refusals, hedged requests and the polling of the list."""
+"""Tests of the choice of a server, retries, refusals, hedged requests and the polling of the endpoint list.
+
+A refusal is the balancer's own final response to a client. A rejection is a server's response that it has
+not executed the request. A poll is one request to discovery; a watch is the chain of polls that keeps the
+endpoint list current.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +20,7 @@
 )
 
 
-def test_calls_are_spread_evenly_over_the_own_zone() -> None:
+def test_calls_are_spread_evenly_over_the_local_zone() -> None:
     harness = BalancerHarness()
     harness.feed_list(TWO_ZONE_ENDPOINTS)
     sent = harness.run_requests(4000)
@@ -23,7 +28,7 @@
     assert all(900 < n < 1100 for n in sent.values())
 
 
-def test_calls_spill_evenly_to_other_zones_if_the_own_zone_is_empty() -> None:
+def test_calls_go_evenly_to_other_zones_if_all_servers_of_the_local_zone_are_draining() -> None:
     harness = BalancerHarness()
     harness.feed_list([make_endpoint("a0", state=api.EndpointState.DRAINING), *TWO_ZONE_ENDPOINTS[4:]])
     sent = harness.run_requests(2000)
@@ -32,57 +37,61 @@
 
 
 def test_retrying_a_rejection_costs_less_than_a_retry_token() -> None:
-    """A rejection causes little load at the server, and giving up wastes the work of the outer tiers."""
+    """A rejection causes little load at the server, and giving up wastes the work of the downstream tiers.
+
+    The bucket holds 5 tokens, and each request adds 0.1. Without the lower cost, 15 retries would empty it.
+    """
     harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=3)))
     harness.feed_list([make_endpoint(f"a{i}") for i in range(30)])
     for _ in range(15):
         expect_single_send(harness.start_request())
         expect_single_send(harness.end_attempt(api.Outcome.REJECTED, after_ms=1.0))
         harness.end_attempt(api.Outcome.OK, 1, after_ms=1.0)
-    harness.balancer.retry_tokens = 0.5  # the retry after an error costs a whole token
+    # The retry after an error costs a whole token.
+    harness.balancer.retry_tokens = 0.5
     harness.start_request()
     assert not any(isinstance(a, api.Send) for a in harness.end_attempt(api.Outcome.ERROR, after_ms=1.0))
 
 
-def test_inner_tiers_never_refuse_for_lack_of_capacity() -> None:
+def test_calls_between_tiers_are_not_refused_for_lack_of_capacity() -> None:
+    """Only the balancers of the first tier, tier 0, refuse requests for lack of capacity."""
     harness = BalancerHarness(make_settings(tier=1, tier_count=2))
     harness.feed_list(TWO_ZONE_ENDPOINTS)
     assert all(isinstance(a, api.Send) for _ in range(200) for a in harness.start_request())
 
 
 def test_nothing_is_sent_while_the_endpoint_list_is_expired() -> None:
-    """Any listed server may be draining or gone, and the balancer is deemed notified of it.
+    """Once its list has expired, the balancer is treated as informed of all changes that the list may lack.
 
-    That a server still answers does not show that it is not draining.
+    Any listed server may be draining or gone. A server that is draining may still respond, so a response does
+    not show that the server may get calls.
     """
     harness = BalancerHarness(make_settings(polled_discovery=True))
     harness.feed_list(TWO_ZONE_ENDPOINTS)
     harness.run_requests(20)
     harness.start_request()
     harness.feed(api.ListExpiryChanged(harness.now_ms))
-    assert isinstance(
-        harness.end_attempt(api.Outcome.REJECTED)[-1], api.Refuse
-    )  # the request is not retried either
+    # A request that is already in flight is not retried either.
+    assert isinstance(harness.end_attempt(api.Outcome.REJECTED)[-1], api.Refuse)
     for _ in range(20):
         harness.now_ms += 1000.0
         expect_only_refusal(harness.start_request())
     harness.feed_list([], api.ListKind.FAILED)
     expect_only_refusal(harness.start_request())
-    harness.feed_list(
-        [], api.ListKind.CHANGES
-    )  # discovery reports no change, so the list is current again
+    # Discovery reports no changes, so the list is current again.
+    harness.feed_list([], api.ListKind.CHANGES)
     assert len(harness.run_requests(50)) > 1
 
 
-def test_the_pause_after_a_failed_watch_grows_with_the_number_of_balancers() -> None:
-    for balancer_count, max_pause_ms in ((4, 500.0), (30, 1500.0), (1000, 10000.0)):
+def test_the_backoff_after_a_failed_poll_grows_with_the_number_of_balancers() -> None:
+    for balancer_count, max_backoff_ms in ((4, 500.0), (30, 1500.0), (1000, 10000.0)):
         harness = BalancerHarness(make_settings(polled_discovery=True, balancer_count=balancer_count))
         timers = [a for _ in range(200) for a in harness.feed_list([], api.ListKind.FAILED)]
-        pauses_ms = [a.at_ms - harness.now_ms for a in timers if isinstance(a, api.SetTimer)]
-        assert 0.9 * max_pause_ms < max(pauses_ms) <= max_pause_ms
+        backoffs_ms = [a.at_ms - harness.now_ms for a in timers if isinstance(a, api.SetTimer)]
+        assert 0.9 * max_backoff_ms < max(backoffs_ms) <= max_backoff_ms
 
 
-def test_watches_of_many_balancers_are_spread_over_time() -> None:
+def test_polls_after_a_failure_are_jittered() -> None:
     settings = make_settings(polled_discovery=True)
     times = set()
     for seed in range(20):
@@ -95,7 +104,7 @@
     assert len(times) == 20
 
 
-def test_contradictory_settings_are_rejected() -> None:
+def test_invalid_settings_are_rejected() -> None:
     with pytest.raises(ValueError, match="no request class"):
         make_settings(classes=())
     with pytest.raises(ValueError, match="tier"):
@@ -115,8 +124,8 @@
         assert min(max_delay_ms, 200.0) <= refusal.retry_after_ms <= max_delay_ms
 
 
-def test_a_rejected_hedged_request_is_retried_and_does_not_end_the_request() -> None:
-    """Otherwise the request would depend on the hung call alone, once a full server rejected its hedge."""
+def test_a_rejected_hedged_attempt_is_retried_and_does_not_end_the_request() -> None:
+    """If the rejected attempt were not retried, only the hung attempt could still complete the request."""
     limits = api.Limits(max_attempts=4, concurrent_attempts=True)
     harness = BalancerHarness(make_settings(limits=limits))
     harness.feed_list([make_endpoint("a0"), make_endpoint("a1")])
@@ -133,5 +142,5 @@
     assert (hedges[0].request, hedges[0].endpoint != server) == (hung, True)
     assert expect_single_send(harness.end_attempt(api.Outcome.REJECTED, 1, hung, 1.0)).request == hung
     harness.balancer.retry_tokens = 0.0
-    assert harness.end_attempt(api.Outcome.REJECTED, 2, hung, 1.0) == []  # the hung call may still succeed
+    assert harness.end_attempt(api.Outcome.REJECTED, 2, hung, 1.0) == []  # the hung attempt may still succeed
     assert isinstance(harness.end_attempt(api.Outcome.TIMEOUT, 0, hung, 500.0)[0], (api.Fail, api.Refuse))
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Tests that every setting and every event field is decoded, and that malformed ones are rejected by name."""
+"""Tests that each field of settings, events and endpoints is decoded, and that errors name malformed ones."""
 
 from __future__ import annotations
 
@@ -72,13 +72,15 @@
     assert settings == api.Settings(
         zone="a", classes=(api.RequestClass("c", 1.0, 2.0, api.Idempotency.ONCE),),
         limits=api.Limits(max_attempts=1), rules=api.Rules(poll_interval_ms=10000.0),
-        propagates_deadline=False)  # Booleans that are false are left out of the JSON.
+        # The JSON omits booleans that are false, so an absent one is false.
+        propagates_deadline=False)
 
 
 @pytest.mark.parametrize(("name", "fields", "event"), [
     ("WorkItem", {"ref": "q", "kind": "c", "remainingMs": 5, "entity": "k", "resent": True, "isWrite": True,
                   "team": "p", "workHintMs": 2},
      api.RequestArrived("q", "c", 5.0, "p", True, "k", True, 2.0)),
+    # The team 0 stands for no tenant.
     ("WorkItem", {"ref": "q", "kind": "c", "remainingMs": 5, "team": 0}, api.RequestArrived("q", "c", 5.0)),
     ("Ended", {"ref": "q", "shot": 1, "backend": "b", "how": 598, "waitTimeMs": 2, "metrics": [1, 2]},
      api.AttemptEnded("q", 1, api.Outcome.RESET, 2.0, False, (1, 2), "b")),
@@ -117,6 +119,6 @@
     ({"contract": {"turnGapMs": -1.0}}, "key cooldown is negative"),
     ({"me": -1}, "balancer index is negative"),
 ])
-def test_contradictory_settings_are_rejected(changes: dict[str, Any], expected_error: str) -> None:
+def test_settings_that_fail_validation_are_rejected(changes: dict[str, Any], expected_error: str) -> None:
     with pytest.raises(ValueError, match=expected_error):
         codec.decode_settings({**SETTINGS, **changes})
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -1,6 +1,6 @@
-"""Tests of properties of all decisions: they are deterministic, independent of names, and bound their state.
+"""Tests that decisions are deterministic and independent of names, and that the state stays bounded.
 
-The size of the decision module's files is limited too, and they must not contain names of deployments.
+The files of the balancer must also stay within size limits, and must not contain names of deployments.
 """
 
 from __future__ import annotations
@@ -25,14 +25,18 @@
 
 
 def run_script(rename: dict[str, str], seed: int = 3, servers: int = 12) -> list[str]:
-    """Run a fixed sequence of events, with names replaced by `rename`; the actions have the old names."""
+    """Run a fixed sequence of events with names replaced by `rename`, and return a log of the actions.
+
+    In the log, the endpoints have their original names again.
+    """
     def name(text: str) -> str:
         return rename.get(text, text)
 
     rng = random.Random(1)
     classes = tuple(
-        api.RequestClass(name(c), 400.0 * (i + 1), 2000.0, effect, api.DedupeScope.ZONE, 900.0, worth=i + 1)
-        for i, (c, effect) in enumerate(zip(("read", "write", "keyed"), api.Idempotency, strict=True))
+        api.RequestClass(
+            name(c), 400.0 * (i + 1), 2000.0, idempotency, api.DedupeScope.ZONE, 900.0, worth=i + 1)
+        for i, (c, idempotency) in enumerate(zip(("read", "write", "keyed"), api.Idempotency, strict=True))
     )
     tenants = (api.Tenant(name("small"), 20.0), api.Tenant(name("large"), 500.0))
     balancer_settings = make_settings(
@@ -44,30 +48,31 @@
         api.Endpoint(name(f"s{i}"), name("ab"[i % 2]), cell=i // 3, started_ms=900.0 if i % 4 == 0 else None)
         for i in range(servers)
     )
-    now, log, pending = 1000.0, [], []
-    old_names = {v: k for k, v in rename.items()}
+    now_ms, log, pending = 1000.0, [], []
+    original_names = {v: k for k, v in rename.items()}
     events: list[api.Event] = [api.Started(), api.EndpointsListed(api.ListKind.FULL, listed)]
     for i in range(1500):
         events.append(api.RequestArrived(
             f"q{i}", name(rng.choice(("read", "write", "keyed"))), 1500.0,
             name(rng.choice(("small", "large")))))
         for event in events:
-            for action in balancer.handle(now, event):
+            for action in balancer.handle(now_ms, event):
                 if isinstance(action, api.Send):
-                    pending.append((now + rng.choice([5, 60, 400]), action.request, now))
-                    log.append(f"send {action.request} {old_names.get(action.endpoint, action.endpoint)}")
+                    pending.append((now_ms + rng.choice([5, 60, 400]), action.request, now_ms))
+                    log.append(
+                        f"send {action.request} {original_names.get(action.endpoint, action.endpoint)}")
                 else:
                     log.append(repr(action))
-        now += 4.0
+        now_ms += 4.0
         events = []
         attempt_numbers: dict[str, int] = {}
-        for due, request, sent in [o for o in pending if o[0] <= now]:
-            pending.remove((due, request, sent))
+        for end_ms, request, sent_ms in [entry for entry in pending if entry[0] <= now_ms]:
+            pending.remove((end_ms, request, sent_ms))
             known = balancer.requests.get(request)
             attempt_numbers[request] = len(known.attempts) - 1 if known else 0
             outcome = rng.choice([api.Outcome.OK] * 5 + [api.Outcome.ERROR, api.Outcome.RESET])
             events.append(api.AttemptEnded(
-                request, attempt_numbers[request], outcome, now - sent, outcome is api.Outcome.OK))
+                request, attempt_numbers[request], outcome, now_ms - sent_ms, outcome is api.Outcome.OK))
     return log
 
 
@@ -89,14 +94,14 @@
     code = (
         "from tests.test_invariants import run_script; import zlib; "
         "print(zlib.crc32(repr(run_script({})).encode()))")
-    prints = {
+    checksums = {
         subprocess.run(
             [sys.executable, "-c", code], cwd=ROOT, env={**os.environ, "PYTHONHASHSEED": seed},
             capture_output=True, text=True, check=True,
         ).stdout
         for seed in ("0", "1", "77")
     }
-    assert len(prints) == 1
+    assert len(checksums) == 1
 
 
 def test_state_of_past_requests_and_servers_is_removed() -> None:
@@ -111,14 +116,14 @@
 
 
 def test_a_second_ejection_does_not_release_a_call_twice() -> None:
-    """Otherwise the count of calls in flight would stay too low, and too many calls would be admitted."""
+    """If it did, the count of calls in flight would stay too low, and too many calls would be admitted."""
     balancer = Balancer(make_settings(limits=api.Limits(max_attempts=1)), 1)
     balancer.handle(0.0, api.EndpointsListed(api.ListKind.FULL, (api.Endpoint("a0", "a"),)))
     balancer.handle(0.0, api.RequestArrived("long", "read", 60000.0))
     for i in range(4):
-        now = 20000.0 * (i // 2)
-        balancer.handle(now, api.RequestArrived(f"q{i}", "read", 2000.0))
-        balancer.handle(now + 1.0, api.AttemptEnded(f"q{i}", 0, api.Outcome.CONNECT_FAILED, 1.0))
+        now_ms = 20000.0 * (i // 2)
+        balancer.handle(now_ms, api.RequestArrived(f"q{i}", "read", 2000.0))
+        balancer.handle(now_ms + 1.0, api.AttemptEnded(f"q{i}", 0, api.Outcome.CONNECT_FAILED, 1.0))
     assert balancer.host_set.servers["a0"].ejections == 2
     balancer.handle(30000.0, api.AttemptEnded("long", 0, api.Outcome.OK, 30000.0, True))
     assert balancer.host_set.zones["a"].in_flight == 0
@@ -126,58 +131,63 @@
 
 @given(st.integers(0, 2**32))
 @settings(max_examples=40, deadline=None)
-def test_the_calls_in_flight_of_a_zone_match_its_counted_attempts(seed: int) -> None:
-    rng, now = random.Random(seed), 0.0
+def test_the_in_flight_count_of_a_zone_equals_its_active_attempts_not_yet_released(seed: int) -> None:
+    """An attempt in flight is released, and no longer counted, when it hangs or its server is ejected."""
+    rng, now_ms = random.Random(seed), 0.0
     limits = api.Limits(max_attempts=3, concurrent_attempts=rng.random() < 0.5)
     balancer = Balancer(make_settings(limits=limits), seed)
     names = [f"s{i}" for i in range(6)]
     pending: list[tuple[str, int, float]] = []
     attempt_counts: dict[str, int] = {}
     for i in range(300):
-        now += rng.choice((1.0, 20.0, 400.0))
+        now_ms += rng.choice((1.0, 20.0, 400.0))
         if i % 20 == 0:
             listed = tuple(api.Endpoint(n, "ab"[int(n[1]) % 2]) for n in names if rng.random() < 0.8)
-            actions = balancer.handle(now, api.EndpointsListed(api.ListKind.FULL, listed))
+            actions = balancer.handle(now_ms, api.EndpointsListed(api.ListKind.FULL, listed))
         elif pending and rng.random() < 0.5:
-            request, attempt, sent = pending.pop(rng.randrange(len(pending)))
+            request, attempt, sent_ms = pending.pop(rng.randrange(len(pending)))
             outcome = rng.choice([api.Outcome.OK] * 4 + list(api.Outcome))
-            actions = balancer.handle(now, api.AttemptEnded(
-                request, attempt, outcome, now - sent, outcome is api.Outcome.OK))
+            actions = balancer.handle(now_ms, api.AttemptEnded(
+                request, attempt, outcome, now_ms - sent_ms, outcome is api.Outcome.OK))
         else:
-            actions = balancer.handle(now, api.RequestArrived(f"q{i}", rng.choice(("read", "keyed")), 3000.0))
+            actions = balancer.handle(
+                now_ms, api.RequestArrived(f"q{i}", rng.choice(("read", "keyed")), 3000.0))
         for action in actions:
             if isinstance(action, api.Send):
-                pending.append((action.request, attempt_counts.get(action.request, 0), now))
+                pending.append((action.request, attempt_counts.get(action.request, 0), now_ms))
                 attempt_counts[action.request] = attempt_counts.get(action.request, 0) + 1
         active = [a for r in balancer.requests.values() for a in r.attempts if a.active]
         assert len(active) == len(pending)
         for zone in balancer.host_set.zones.values():
             assert zone.in_flight == sum(a.counted_in_flight for a in active if a.zone is zone) >= 0
-    for request, attempt, sent in pending:
-        balancer.handle(now, api.AttemptEnded(request, attempt, api.Outcome.TIMEOUT, now - sent, True))
+    for request, attempt, sent_ms in pending:
+        balancer.handle(
+            now_ms, api.AttemptEnded(request, attempt, api.Outcome.TIMEOUT, now_ms - sent_ms, True))
     assert [z.in_flight for z in balancer.host_set.zones.values()] == [0] * len(balancer.host_set.zones)
 
 
-DECISION_FILES = [ROOT / name for name in tomllib.loads(
+BALANCER_FILES = [ROOT / name for name in tomllib.loads(
     (ROOT / "deploy" / "balancer.toml").read_text())["policy"]]
 
 
-def test_the_decision_module_keeps_its_size_limits() -> None:
-    texts = {path: path.read_text().splitlines() for path in DECISION_FILES}
+def test_the_balancers_files_stay_within_size_limits_and_name_the_interface_module() -> None:
+    texts = {path: path.read_text().splitlines() for path in BALANCER_FILES}
     sizes = {path: sum(bool(line.strip()) for line in lines) for path, lines in texts.items()}
     assert all(size <= 600 for size in sizes.values())
     assert sum(sizes.values()) <= 1200
     assert max(len(line) for lines in texts.values() for line in lines) <= 110
+    # The head of balancer.py has to name the module that defines its events and actions.
     assert "honeywharf/interface.py" in "\n".join(texts[ROOT / "honeywharf" / "balancer.py"][:3])
 
 
-def test_the_deploy_file_lists_every_file_of_the_decision_module() -> None:
-    assert set(DECISION_FILES) == {
+def test_the_deploy_file_lists_every_file_of_the_balancer() -> None:
+    assert set(BALANCER_FILES) == {
         ROOT / "honeywharf" / "balancer.py", *(ROOT / "honeywharf" / "policy").glob("*.py")}
 
 
-@pytest.mark.parametrize("path", DECISION_FILES, ids=lambda path: path.name)
-def test_the_decision_module_contains_no_names_of_deployments(path: Path) -> None:
+@pytest.mark.parametrize("path", BALANCER_FILES, ids=lambda path: path.name)
+def test_the_balancers_files_contain_no_names_of_deployments(path: Path) -> None:
     text = path.read_text().lower()
+    # Names that belong to deployments, some of which look like ordinary words.
     for word in ("zagreb", "tallinn", "tbilisi", "obrazac", "tile", "quote", "uni-labs", "front"):
         assert not re.search(rf"\b{word}\b", text)
--- a/tests/test_key_order.py
+++ b/tests/test_key_order.py
@@ -1,6 +1,6 @@
-"""Tests of the order of requests that share a key.
+"""Tests that requests that share an ordering key run one at a time, in the order of their arrival.
 
-They run one at a time in the order of their arrival, with a cooldown after an attempt that may still run.
+After an attempt that may still be running, its key has a cooldown, in which no request of the key is sent.
 """
 
 from __future__ import annotations
@@ -18,6 +18,7 @@
 
 Outcome = api.Outcome
 BORROW = api.RequestClass("borrow", 1000, 2000, idempotency=api.Idempotency.ONCE, ordered_by_key=True)
+# Servers drop repeats of this class by an idempotency key. The `key` in the tests below is the ordering key.
 RENEW = api.RequestClass(
     "renew", 1000, 2000, idempotency=api.Idempotency.KEYED, dedupe_window_ms=1500, ordered_by_key=True)
 READ = api.RequestClass("read", 1000, 2000)
@@ -42,7 +43,7 @@
     return [a.request for a in actions if isinstance(a, api.Send)]
 
 
-def test_requests_of_a_key_run_one_at_a_time_in_order_over_all_ordered_classes(
+def test_requests_of_a_key_run_one_at_a_time_in_order_across_all_ordered_classes(
     harness: BalancerHarness,
 ) -> None:
     assert sent_requests(harness.start_request("borrow", key="k")) == ["r1"]
@@ -52,7 +53,7 @@
     assert sent_requests(harness.end_attempt(Outcome.OK, request="r2")) == ["r3"]
 
 
-def test_other_keys_requests_without_a_key_and_unordered_classes_do_not_wait(
+def test_only_requests_of_the_same_key_and_of_ordered_classes_wait(
     harness: BalancerHarness,
 ) -> None:
     harness.start_request("borrow", key="k")
@@ -63,7 +64,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET])
-def test_a_key_has_a_cooldown_after_an_attempt_that_may_still_run(
+def test_a_key_has_a_cooldown_after_an_attempt_that_may_still_be_running(
     harness: BalancerHarness, outcome: api.Outcome,
 ) -> None:
     harness.start_request("borrow", key="k")
@@ -82,7 +83,7 @@
     assert sent_requests(harness.end_attempt(Outcome.TIMEOUT, request="r1", after_ms=100)) == ["r1"]
 
 
-def test_the_next_request_is_sent_at_once_if_the_first_did_not_run(harness: BalancerHarness) -> None:
+def test_the_next_request_is_sent_at_once_if_the_first_was_not_executed(harness: BalancerHarness) -> None:
     harness.feed_list([make_endpoint("a0")])
     harness.start_request("borrow", key="k")
     harness.start_request("borrow", key="k")
@@ -104,14 +105,14 @@
     assert not harness.balancer.key_queues
 
 
-def test_a_queued_request_whose_client_left_is_removed(harness: BalancerHarness) -> None:
+def test_a_queued_request_whose_client_disconnected_is_removed(harness: BalancerHarness) -> None:
     for _ in range(3):
         harness.start_request("borrow", key="k")
     harness.feed(api.RequestAbandoned("r2"))
     assert sent_requests(harness.end_attempt(Outcome.OK, request="r1")) == ["r3"]
 
 
-def test_an_attempt_in_flight_blocks_its_key_after_its_client_left(harness: BalancerHarness) -> None:
+def test_an_attempt_in_flight_blocks_its_key_after_its_client_disconnected(harness: BalancerHarness) -> None:
     harness.start_request("borrow", key="k")
     harness.start_request("borrow", key="k")
     assert sent_requests(harness.feed(api.RequestAbandoned("r1"))) == []
@@ -122,13 +123,14 @@
     for i in range(50):
         harness.start_request("borrow", key=f"k{i}")
         harness.end_attempt(Outcome.TIMEOUT if i % 2 else Outcome.OK)
+    # The token of the timer that ends cooldowns is "turn".
     fire_timer(harness, "turn", COOLDOWN_MS)
     assert not harness.balancer.key_queues
     assert not harness.balancer.key_cooldowns
 
 
-def test_a_long_queue_is_refused_if_no_server_is_left(harness: BalancerHarness) -> None:
-    """Recursion per queued request would exceed the depth of the stack."""
+def test_all_requests_of_a_long_queue_are_refused_if_no_server_is_left(harness: BalancerHarness) -> None:
+    """The queue must be emptied in a loop, because a recursion per request would exceed the stack's depth."""
     for _ in range(3000):
         harness.start_request("borrow", key="k")
     harness.feed_list([])
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -13,7 +13,7 @@
 from honeywharf import interface as api, simulator_adapter
 
 ROOT = Path(__file__).parent.parent
-# The adapter must ignore fields that it does not know: here `surprise`, in work items `novelty`.
+# The adapter must ignore unknown fields, such as `surprise` here and `novelty` in the WorkItem events below.
 SETTINGS: dict[str, Any] = {
     "bounds": {"mostTries": 3, "cancel": True, "secondCopies": False, "cpuUsPerS": 1},
     "contract": {"coldShare": 0.3, "warmAfterMs": 8500.0, "graceToAnswerMs": 8.0, "askEveryMs": 10000.0},
@@ -68,7 +68,7 @@
     assert all(not replies[i]["output"] for i in (0, 1, 3, 4))
 
 
-def test_a_membership_event_uses_the_latest_list_with_its_page_number() -> None:
+def test_a_membership_event_refers_to_the_latest_ledger_event_of_its_page() -> None:
     second_ledger = json.loads(json.dumps(LEDGER).replace("b1", "b2"))
     lists_line = batch_line(
         1, born_event(0), born_event(1), LEDGER, membership_event(0), second_ledger, membership_event(1))
@@ -111,7 +111,7 @@
     assert reply["output"] == [{"Panic": {"who": 0, "words": "KeyError: 'gone'"}}]
 
 
-def test_a_balancer_acts_the_same_alone_and_beside_others() -> None:
+def test_balancers_in_one_process_do_not_affect_each_other() -> None:
     lines = [
         batch_line(1, born_event(0, 5), born_event(1, 6), LEDGER, membership_event(0), membership_event(1)),
         *(batch_line(i, work_item(f"r{i}", i % 2)) for i in range(2, 30))]
