--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -45,7 +45,7 @@
 
 
 def run_test(main: Coroutine[Any, Any, T]) -> T:
-    """Run the coroutine of a whole test on uvloop, as the real proxy runs; fail if it takes too long."""
+    """Run the coroutine of a whole test on uvloop, as in production, and fail if it takes too long."""
     return uvloop.run(asyncio.wait_for(main, 3 * WAIT_TIMEOUT_S))
 
 
@@ -132,7 +132,7 @@
     def discovery_entry(
         self, name: str, zone: str = "z", lifecycle: str = "up", **changes: Any
     ) -> dict[str, Any]:
-        """Build the endpoint entry of a discovery response for this backend, by the function of this name."""
+        """Build the endpoint entry of this backend with the module's function of the same name."""
         return discovery_entry(name, self.port, zone, lifecycle, **changes)
 
     async def stop(self) -> None:
@@ -197,8 +197,8 @@
 def make_config(discovery_port: int, entries: list[dict[str, Any]], **changes: Any) -> config.Config:
     """Build a proxy's configuration, with `entries` as its initial, cached endpoint list.
 
-    `changes` overrides settings; nested groups of settings are merged. As an exception, `sockets` is no
-    setting, but the configured number of sockets.
+    `changes` overrides settings; nested groups of settings are merged. The key `sockets` is not a
+    setting: it sets the number of sockets that the configuration allows.
     """
     max_sockets = changes.pop("sockets", 1024)
     settings = {
@@ -316,7 +316,7 @@
 
 @asynccontextmanager
 async def synced_proxy(entries: list[dict[str, Any]], **changes: Any) -> AsyncIterator[ProxyHarness]:
-    """Run a proxy with `entries` as its initial list, which the response to its first poll has confirmed."""
+    """Run a proxy with `entries` as its initial list, which the response to its first poll confirmed."""
     async with started_proxy(entries, **changes) as harness:
         harness.discovery.publish(1)
         await wait_until(lambda: harness.proxy.watch.initialized)
--- a/tests/proxy_process.py
+++ b/tests/proxy_process.py
@@ -34,8 +34,8 @@
 class ProxyProcess:
     """A listening proxy process, killed at the end of its `with` block.
 
-    `changes` replaces top-level keys of its configuration. As an exception, `descriptors` is no such key, but
-    the limit of its open files.
+    `changes` replaces top-level keys of its configuration. The key `descriptors` is not
+    one of these: it limits the process's open files.
     """
 
     def __init__(self, directory: Path, **changes: Any) -> None:
--- a/tests/test_invariants.py
+++ b/tests/test_invariants.py
@@ -80,10 +80,10 @@
     names = ["a", "b", "read", "write", "keyed", "small", "large", *(f"s{i}" for i in range(12))]
     rng = random.Random(9)
     renamed = {n: f"{rng.getrandbits(60):x}" for n in names}
-    plain = run_script({})
-    assert plain == run_script(renamed)
-    assert any(line.startswith("Refuse") for line in plain)
-    assert any(line.startswith("Fail") for line in plain)
+    log = run_script({})
+    assert log == run_script(renamed)
+    assert any(line.startswith("Refuse") for line in log)
+    assert any(line.startswith("Fail") for line in log)
 
 
 def test_decisions_depend_on_the_seed() -> None:
@@ -120,6 +120,7 @@
     balancer = Balancer(make_settings(limits=api.Limits(max_attempts=1)), 1)
     balancer.handle(0.0, api.EndpointsListed(api.ListKind.FULL, (api.Endpoint("a0", "a"),)))
     balancer.handle(0.0, api.RequestArrived("long", "read", 60000.0))
+    # Two connect failures in a row eject the server, once at 0 s and once more at 20 s.
     for i in range(4):
         now_ms = 20000.0 * (i // 2)
         balancer.handle(now_ms, api.RequestArrived(f"q{i}", "read", 2000.0))
--- a/tests/test_key_order.py
+++ b/tests/test_ordering_by_key.py
@@ -1,6 +1,6 @@
 """Tests that requests that share an ordering key run one at a time, in the order of their arrival.
 
-After an attempt that may still be running, its key has a cooldown, in which no request of the key is sent.
+After an attempt that may still be running, its key has a cooldown, in which the next request is not sent.
 """
 
 from __future__ import annotations
--- a/tests/test_retry_safety.py
+++ b/tests/test_retry_safety.py
@@ -98,7 +98,7 @@
 
 
 def test_the_retry_budget_limits_retries() -> None:
-    """Prevents retry storms: if every attempt fails, retries stay few compared with first attempts."""
+    """The budget prevents retry storms: if every attempt fails, retries stay few compared with requests."""
     harness = BalancerHarness()
     harness.feed_list(ENDPOINTS_IN_THREE_CELLS)
     retries = 0
@@ -245,7 +245,7 @@
             if now_ms >= earlier[0]["sent_ms"] + request_class.dedupe_window_ms:
                 raise RuleViolationError("a keyed request was retried after its deduplication window")
             for attempt in earlier:
-                # In the order of the members of DedupeScope: ALL, ZONE, CELL.
+                # Whether the target is in each scope, in the order of DedupeScope: ALL, ZONE, CELL.
                 in_scope = (
                     True, attempt["endpoint"].zone == target.zone, attempt["endpoint"].cell == target.cell)
                 if not in_scope[list(api.DedupeScope).index(request_class.dedupe_scope)]:
@@ -309,7 +309,11 @@
         self.checker.check_overdue_requests(until_ms)
 
     def step(self, kind: int) -> None:
-        """Let a request arrive (0 to 5), time pass (6, 7), an endpoint change (8) or a client abort (9)."""
+        """Take one random step of the given kind, 0 to 9.
+
+        0 to 5: a request arrives. 6 and 7: time passes. 8: an endpoint changes its state. 9: the client of
+        the latest request disconnects.
+        """
         if kind < 6:
             self.request_count += 1
             class_name = self.random.choice([c.name for c in self.balancer.settings.classes])
@@ -319,8 +323,7 @@
         elif kind < 8:
             self.run_until(self.now_ms + self.random.choice([0.5, 20, 400]))
         elif kind == 8:
-            old = ENDPOINTS_IN_THREE_CELLS[
-                self.random.randrange(len(ENDPOINTS_IN_THREE_CELLS))]
+            old = ENDPOINTS_IN_THREE_CELLS[self.random.randrange(len(ENDPOINTS_IN_THREE_CELLS))]
             state = self.random.choice(list(api.EndpointState))
             new = make_endpoint(old.id, old.zone, cell=old.cell, state=state, started_ms=self.now_ms)
             self.feed(api.EndpointsListed(api.ListKind.CHANGES, (new,)))
@@ -369,7 +372,7 @@
 
 
 class RetriesFailures(Balancer):
-    """Broken on purpose: sends each failed request again."""
+    """Broken on purpose: retries each request that it should fail."""
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
         actions = super().handle(now_ms, event)
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -49,7 +49,7 @@
     )
 
 
-def test_each_batch_is_answered_with_its_actions() -> None:
+def test_each_batch_gets_a_reply_with_its_actions() -> None:
     attempt_ended = {"Ended": {
         "who": 0, "ref": "r1", "shot": 0, "backend": "b1", "how": 200, "waitTimeMs": 2.5, "complete": True,
         "metrics": [1]}}
