--- a/honeywharf/net/downstream.py
+++ b/honeywharf/net/downstream.py
@@ -1,4 +1,4 @@
-"""Callers' connections: requests in, one answer each out, the health endpoint, and the end of service."""
+"""Connections from clients: reading requests, writing the responses, the readiness endpoint and draining."""
 
 from __future__ import annotations
 
@@ -14,195 +14,220 @@
 from honeywharf.net.config import Address
 from honeywharf.net.driver import SERVICE_UNAVAILABLE, Driver
 
-BACKLOG = 1024
-READY = b"/health/ready"
-CALLS = b"/api"
-MAX_PIPELINED = 8  # requests sent ahead on one connection, of so many bytes: clients send one at a time
+READINESS_PATH = b"/health/ready"
+API_PATH = b"/api"
+LISTEN_BACKLOG = 1024
+#: A client that pipelines more requests than this is rejected. Clients normally send one request at a time.
+MAX_PIPELINED_REQUESTS = 8
+#: The same limit for the total body size of several pipelined requests.
 MAX_PIPELINED_BYTES = http1.MAX_REQUEST_BODY_BYTES
-FIRST_BYTE_TIMEOUT_MS = 2000.0  # a connection on which nothing has come is closed then
-IDLE_TIMEOUT_MS = 6000.0  # and so is one that has been idle so long after an answer
-REDUCED_IDLE_TIMEOUT_MS = 2000.0  # the idle timeout while more than half of the connections are taken
-SLOW_MS = 2400.0  # a request must be whole so long after its first byte
-YOUNG_MS = 250.0  # under that age a connection that says nothing is not the first to go
-LINGER_S = 0.5  # after a last answer: closing on unread bytes would take the answer back
-LINGER_MAX_S = 3.0  # the same for a caller that has not taken the answer off yet
-LINGER_BYTES = 256 * 1024  # what is read and thrown away in that time
-SWEEP_S = 0.2
+#: A connection on which nothing has been received is closed after this time.
+FIRST_BYTE_TIMEOUT_MS = 2000.0
+#: A connection is closed after it has been idle for this time since its last response.
+IDLE_TIMEOUT_MS = 6000.0
+#: The idle timeout while more than half of the allowed connections are open.
+REDUCED_IDLE_TIMEOUT_MS = 2000.0
+#: A request must be received completely within this time after its first byte.
+REQUEST_TIMEOUT_MS = 2400.0
+#: A connection without a complete request is evicted before the idle ones only if it has waited this long.
+MIN_EVICTION_AGE_MS = 250.0
+#: A connection stays open for this time after its final response. Closing a socket with unread input resets
+#: the connection, and the client may lose the response.
+LINGER_TIMEOUT_S = 0.5
+#: If the final response is not fully written to the socket by then, the connection stays open for this time.
+UNWRITTEN_LINGER_TIMEOUT_S = 3.0
+#: Up to this much input is read and discarded while a connection lingers.
+MAX_DISCARDED_BYTES = 256 * 1024
+SWEEP_INTERVAL_S = 0.2
 
 
 class Connection(asyncio.Protocol):
-    """One caller's connection: one request at a time, in the order they came."""
+    """A client's connection. Its requests are served one at a time, in the order of their arrival."""
 
     __slots__ = (
-        "current", "descriptor", "discarded_bytes", "fault", "finished", "frontend", "group", "pipelined",
-        "pipelined_bytes", "reader", "since_ms", "timer", "transport",
+        "closing", "current_request", "descriptor", "discarded_bytes", "frontend", "group",
+        "group_entered_ms", "linger_timer", "parse_error", "pipelined", "pipelined_bytes", "reader",
+        "transport",
     )
 
     def __init__(self, frontend: Frontend) -> None:
         self.frontend = frontend
-        self.reader = http1.RequestReader(self._continue)
-        self.current: http1.Request | None = None
+        self.reader = http1.RequestReader(self._send_continue)
+        self.current_request: http1.Request | None = None
         self.pipelined: deque[http1.Request] = deque()
         self.pipelined_bytes = 0
-        self.fault: http1.MalformedMessageError | None = None
-        self.finished = False  # nothing more is read or answered here
-        self.discarded_bytes = 0  # bytes that came after that
-        self.group: dict[Connection, None] | None = None  # which of the frontend's groups it is in
-        self.since_ms = 0.0  # in that group since then
-        self.timer: asyncio.TimerHandle | None = None
+        self.parse_error: http1.MalformedMessageError | None = None
+        self.closing = False  # once set, no more requests are read or answered
+        self.discarded_bytes = 0  # input received while closing
+        self.group: dict[Connection, None] | None = None  # the frontend's group that contains this connection
+        self.group_entered_ms = 0.0
+        self.linger_timer: asyncio.TimerHandle | None = None
         self.descriptor = -1
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Register with the frontend."""
+        """Register the connection with the frontend."""
         self.transport = cast(asyncio.Transport, transport)
         self.descriptor = self.transport.get_extra_info("socket").fileno()
         self.frontend.connection_opened(self)
 
-    def _continue(self) -> None:
+    def _send_continue(self) -> None:
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def data_received(self, data: bytes) -> None:
-        """Read requests; one that comes while another is open waits for its answer."""
-        if self.finished:
+        """Parse requests; a request waits until the previous one has been answered."""
+        if self.closing:
             self._discard(len(data))
             return
-        if self.fault is not None:
+        if self.parse_error is not None:
             return
         requests = self.reader.feed(data)
-        self.fault = self.reader.error
+        self.parse_error = self.reader.error
         if requests:
             now = self.frontend.clock.now()
             for request in requests:
                 request.received_ms = now
                 self.pipelined.append(request)
                 self.pipelined_bytes += len(request.body)
-            if len(self.pipelined) > MAX_PIPELINED or (
+            if len(self.pipelined) > MAX_PIPELINED_REQUESTS or (
                     len(self.pipelined) > 1 and self.pipelined_bytes > MAX_PIPELINED_BYTES):
                 self._reject_pipeline()
                 return
-        if self.current is None:
-            self._next()
+        if self.current_request is None:
+            self._process_next()
 
     def _discard(self, size: int) -> None:
-        """Discard bytes after the last answer, up to a limit: they are read so that the answer arrives."""
+        """Discard input that arrives after the final response, up to a limit.
+
+        If it were left unread, closing the socket would reset the connection, and the client could lose the
+        response.
+        """
         self.discarded_bytes += size
-        if self.discarded_bytes > LINGER_BYTES and self.transport.is_reading():
+        if self.discarded_bytes > MAX_DISCARDED_BYTES and self.transport.is_reading():
             self.transport.pause_reading()
 
     def _reject_pipeline(self) -> None:
-        """Guards against a caller that pipelines requests by the hundred: none of them is served."""
-        request = self.current
-        self.reject(400)
+        """Reject a client that pipelines too much.
+
+        It gets a single 400 on this connection, and its open requests are dropped.
+        """
+        request = self.current_request
+        self.reject_and_close(400)
         if request is not None:
             self.frontend.driver.client_disconnected(request)
 
-    def _next(self) -> None:
+    def _process_next(self) -> None:
         if self.pipelined:
-            self.current = self.pipelined.popleft()
-            self.pipelined_bytes -= len(self.current.body)
-            self.frontend.move(self, None)
-            self.frontend.serve(self.current, self)
-        elif self.fault is not None:
-            self.reject(self.fault.status)
+            self.current_request = self.pipelined.popleft()
+            self.pipelined_bytes -= len(self.current_request.body)
+            self.frontend.set_group(self, None)
+            self.frontend.dispatch_request(self.current_request, self)
+        elif self.parse_error is not None:
+            self.reject_and_close(self.parse_error.status)
         else:
-            self.frontend.wait_for_request(self)
+            self.frontend.register_waiting(self)
 
     def answer(
         self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
     ) -> None:
-        """Write the answer to the current request, then turn to the next."""
-        request, self.current = self.current, None
-        if request is None or self.finished:
+        """Write the response to the current request, and continue with the next request."""
+        request, self.current_request = self.current_request, None
+        if request is None or self.closing:
             return
         keep_alive = request.keep_alive and not self.frontend.draining
         self.transport.write(http1.format_response(
             status, body, keep_alive=keep_alive, retry_after_ms=retry_after_ms, content_type=content_type))
         if not keep_alive:
             self._linger()
-        elif self.pipelined or self.fault is not None:
+        elif self.pipelined or self.parse_error is not None:
             self.frontend.loop.call_soon(self._resume)
         else:
-            self.frontend.wait_for_request(self)
+            self.frontend.register_waiting(self)
 
     def _resume(self) -> None:
-        if self.current is None and not self.finished:
-            self._next()
+        if self.current_request is None and not self.closing:
+            self._process_next()
 
-    def reject(self, status: int) -> None:
-        """Answer an invalid request, and read no more."""
-        if self.finished:
+    def reject_and_close(self, status: int) -> None:
+        """Write an error response, read no more requests and close the connection."""
+        if self.closing:
             return
         self.transport.write(http1.format_response(status, keep_alive=False))
         self._linger()
 
     def _linger(self) -> None:
-        """Close after the last answer: at once on this side, and wholly when the caller has or time is up.
+        """Close the sending side now, and the whole connection when the client closes it or after a timeout.
 
-        Guards against a reset, which takes back the answer where bytes have come that nobody has read.
+        If the connection were closed at once, unread input would reset it, and the client could lose the
+        final response.
         """
-        self._finish()
-        self.frontend.move(self, self.frontend.lingering)
+        self._begin_closing()
+        self.frontend.set_group(self, self.frontend.lingering)
         if self.transport.can_write_eof():
             self.transport.write_eof()
-        self.timer = self.frontend.loop.call_later(LINGER_S, self._linger_expired)
+        self.linger_timer = self.frontend.loop.call_later(LINGER_TIMEOUT_S, self._linger_expired)
 
     def _linger_expired(self) -> None:
-        self.timer = None
+        self.linger_timer = None
         if self.transport.get_write_buffer_size() and not self.transport.is_closing():
-            self.timer = self.frontend.loop.call_later(LINGER_MAX_S - LINGER_S, self.transport.abort)
+            self.linger_timer = self.frontend.loop.call_later(
+                UNWRITTEN_LINGER_TIMEOUT_S - LINGER_TIMEOUT_S, self.transport.abort)
         else:
             self.transport.abort()
 
-    def _finish(self) -> None:
-        self.finished, self.current, self.pipelined_bytes = True, None, 0
+    def _begin_closing(self) -> None:
+        self.closing, self.current_request, self.pipelined_bytes = True, None, 0
         self.pipelined.clear()
-        self.frontend.move(self, None)
+        self.frontend.set_group(self, None)
 
     def close(self) -> None:
-        """Close a connection that holds no request."""
-        if self.transport.get_write_buffer_size():  # its caller has not taken off the last answer yet
+        """Close a connection without a complete request."""
+        if self.transport.get_write_buffer_size():  # the last response is not fully written to the socket
             self._linger()
         else:
-            self._finish()
+            self._begin_closing()
             self.transport.abort()
 
     def disconnected(self) -> bool:
-        """Whether the caller has closed or ended its sending, read by the loop or not."""
-        if self.finished or self.transport.is_closing():
+        """Whether the client has closed the connection or its sending side.
+
+        This asks the operating system, because the event loop may not have noticed yet.
+        """
+        if self.closing or self.transport.is_closing():
             return True
         poll = select.poll()
         poll.register(self.descriptor, select.POLLRDHUP)
         return bool(poll.poll(0))
 
     def eof_received(self) -> bool:
-        """The caller has closed, or cancelled.
+        """Drop the client's requests: closing the connection, or only its sending side, cancels them.
 
-        Its loss comes later where it has not taken off an answer yet: nothing must be sent on till then.
+        `connection_lost` is too late for this: it is called only after the buffered responses are written,
+        and until then the requests could still be sent to backends.
         """
-        self._disconnect()
+        self._drop_requests()
         return False
 
-    def _disconnect(self) -> None:
-        """Drop the current request, if it was not answered, and the pipelined ones."""
-        request = self.current
-        self._finish()
+    def _drop_requests(self) -> None:
+        """Drop the pipelined requests and the current one, if it has not been answered."""
+        request = self.current_request
+        self._begin_closing()
         if request is not None:
             self.frontend.driver.client_disconnected(request)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The caller has gone."""
-        self._disconnect()
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        """Drop the client's requests and release the connection."""
+        self._drop_requests()
+        if self.linger_timer is not None:
+            self.linger_timer.cancel()
+            self.linger_timer = None
         self.frontend.connection_closed(self)
         self.reader.close()
         del self.reader
 
 
 class Frontend:
-    """The listening socket and all callers' connections."""
+    """The listening socket and all connections from clients."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, driver: Driver, max_connections: int,
@@ -211,155 +236,166 @@
         self.loop, self.clock, self.driver, self.max_connections = loop, clock, driver, max_connections
         self.can_serve = can_serve
         self.connections: set[Connection] = set()
-        # Those that hold no whole request, the one that has been so longest first: nothing has come yet, part
-        # of a request has come, or the last one is answered.
-        self.silent: dict[Connection, None] = {}
-        self.partial: dict[Connection, None] = {}
-        self.idle: dict[Connection, None] = {}
-        self.lingering: dict[Connection, None] = {}  # those that have had their last answer, and linger
+        # Each group holds connections without a complete request, in the order in which they entered it.
+        self.awaiting_first_byte: dict[Connection, None] = {}  # nothing has been received
+        self.receiving: dict[Connection, None] = {}  # part of a request has been received
+        self.idle: dict[Connection, None] = {}  # the last request has been answered
+        self.lingering: dict[Connection, None] = {}  # the final response has been sent
         self.server: asyncio.Server | None = None
         self.listener: socket.socket | None = None
-        self.accepting: set[asyncio.Task[object]] = set()
+        self.accept_tasks: set[asyncio.Task[object]] = set()
         self.draining = False
-        self.refusing_requests = False  # the process is about to end: what comes now is refused at once
-        self.on_empty: Callable[[], None] | None = None
+        self.refusing_requests = False  # whether new requests get a 503, because the process is about to end
+        self.on_all_closed: Callable[[], None] | None = None
 
-    async def listen(self, where: Address) -> Address:
-        """Open the listener; the address it has."""
-        family = socket.AF_INET6 if ":" in where[0] else socket.AF_INET
-        self.listener = socket.create_server(where, family=family, backlog=BACKLOG)
+    async def listen(self, address: Address) -> Address:
+        """Open the listener, and return its address."""
+        family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
+        self.listener = socket.create_server(address, family=family, backlog=LISTEN_BACKLOG)
         self.listener.setblocking(False)
         self.server = await self.loop.create_server(
-            lambda: Connection(self), sock=self.listener, backlog=BACKLOG)
-        self.loop.call_later(SWEEP_S, self._sweep)
+            lambda: Connection(self), sock=self.listener, backlog=LISTEN_BACKLOG)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         host, port = self.server.sockets[0].getsockname()[:2]
         return host, port
 
     def connection_opened(self, connection: Connection) -> None:
-        """Take a new connection. Beyond the limit, the one least likely to be missed is evicted."""
+        """Add a new connection.
+
+        Beyond the limit, another connection is evicted; if none can be, the new one is rejected.
+        """
         self.connections.add(connection)
         if len(self.connections) > self.max_connections and not self._evict():
-            connection.reject(SERVICE_UNAVAILABLE)
+            connection.reject_and_close(SERVICE_UNAVAILABLE)
             return
-        self.move(connection, self.silent)
+        self.set_group(connection, self.awaiting_first_byte)
 
     def _evict(self) -> bool:
-        """Close one that says nothing, or only half of it, before one that has been served.
+        """Close one connection in favour of a new one, and return whether one could be closed.
 
-        The first to go is one that has had its last answer. Guards against a flood of callers that are turned
-        away: each lingers for a while, and together they would leave no descriptor for anything else.
+        A lingering connection whose final response is fully written goes first: otherwise the connections of
+        many rejected clients, each of which lingers for a while, would use up all file descriptors. Next come
+        connections that have sent nothing, or only part of a request, for some time, then the idle ones, and
+        last new ones that have sent nothing.
         """
-        answered = next((c for c in self.lingering if not c.transport.get_write_buffer_size()), None)
-        if answered is not None:
-            self.move(answered, None)
-            answered.transport.abort()
+        flushed = next((c for c in self.lingering if not c.transport.get_write_buffer_size()), None)
+        if flushed is not None:
+            self.set_group(flushed, None)
+            flushed.transport.abort()
             return True
-        young = self.clock.now() - YOUNG_MS
-        for group in (self.silent, self.partial):
+        evictable_before_ms = self.clock.now() - MIN_EVICTION_AGE_MS
+        for group in (self.awaiting_first_byte, self.receiving):
             first = next(iter(group), None)
-            if first is not None and first.since_ms < young:
+            if first is not None and first.group_entered_ms < evictable_before_ms:
                 first.close()
                 return True
-        first = next(iter(self.idle), None) or next(iter(self.silent), None)
+        first = next(iter(self.idle), None) or next(iter(self.awaiting_first_byte), None)
         if first is not None:
             first.close()
         return first is not None
 
-    def move(self, connection: Connection, group: dict[Connection, None] | None) -> None:
-        """Move the connection to a group, or to none."""
+    def set_group(self, connection: Connection, group: dict[Connection, None] | None) -> None:
+        """Move the connection to a group, or out of its group if `group` is None."""
         if connection.group is not None:
             connection.group.pop(connection, None)
         connection.group = group
         if group is not None:
             group[connection] = None
-            connection.since_ms = self.clock.now()
+            connection.group_entered_ms = self.clock.now()
 
-    def wait_for_request(self, connection: Connection) -> None:
-        """Wait for the rest of a request, or for the next one: no whole request is held."""
-        group = self.idle if connection.reader.idle else self.partial
+    def register_waiting(self, connection: Connection) -> None:
+        """Put a connection that waits for the rest of a request, or for the next one, into its group."""
+        group = self.idle if connection.reader.idle else self.receiving
         if connection.group is not group:
-            self.move(connection, group)
+            self.set_group(connection, group)
 
     def connection_closed(self, connection: Connection) -> None:
         """Remove a closed connection."""
         self.connections.discard(connection)
-        self._notify_if_empty()
+        self._notify_if_all_closed()
 
-    def _notify_if_empty(self) -> None:
-        if not self.connections and not self.accepting and self.on_empty is not None:
-            self.on_empty()
+    def _notify_if_all_closed(self) -> None:
+        if not self.connections and not self.accept_tasks and self.on_all_closed is not None:
+            self.on_all_closed()
 
-    def serve(self, request: http1.Request, connection: Connection) -> None:
-        """Answer what the proxy answers by itself; give the rest to the driver."""
+    def dispatch_request(self, request: http1.Request, connection: Connection) -> None:
+        """Answer the request if the proxy does so itself, and pass it to the driver otherwise."""
         path = request.target.partition(b"?")[0]
-        if path == READY and request.method == b"GET":
+        if path == READINESS_PATH and request.method == b"GET":
             connection.answer(200 if self.ready() else SERVICE_UNAVAILABLE)
-        elif path != CALLS and not path.startswith(CALLS + b"/"):
+        elif path != API_PATH and not path.startswith(API_PATH + b"/"):
             connection.answer(404)
         elif self.driver.validation_error(request) is not None:
-            connection.reject(400)
+            connection.reject_and_close(400)
         elif self.refusing_requests or self.driver.at_capacity():
-            connection.answer(SERVICE_UNAVAILABLE)  # before it reaches the module: nothing has run
+            # The request does not reach the decision module, so no backend has executed it.
+            connection.answer(SERVICE_UNAVAILABLE)
         elif not self.driver.accept_request(request, connection):
             connection.answer(409)
 
     def ready(self) -> bool:
-        """Whether clients may send requests here."""
+        """Whether the readiness endpoint reports that clients may send requests."""
         return self.server is not None and not self.draining and self.can_serve()
 
     def drain(self) -> None:
-        """Go out of service: every answer from now on closes its connection, and idle ones close at once."""
+        """Start draining: each response from now on closes its connection, and idle connections close now."""
         self.draining = True
         for connection in list(self.idle):
             connection.close()
 
     def close_idle(self) -> None:
-        """Close all connections that hold no request, those too on which none has come at all."""
-        for connection in [*self.silent, *self.idle]:
+        """Close the idle connections, and those on which nothing has been received."""
+        for connection in [*self.awaiting_first_byte, *self.idle]:
             connection.close()
 
-    def stop_listening(self, on_empty: Callable[[], None] | None = None) -> None:
-        """Take no new connection, and tell when the last one is closed.
+    def stop_listening(self, on_all_closed: Callable[[], None] | None = None) -> None:
+        """Close the listener; `on_all_closed` is called once the last connection is closed.
 
-        Those that stand in the listener's line are taken first. Guards against resetting them, with requests
-        that count as taken, where the loop is late and the listener's time comes before its events.
+        Connections in the accept queue are accepted first. Otherwise closing the listener would reset them
+        and lose requests that the kernel has already received. The queue holds connections if the event loop
+        is late, because the timer that closes the listener may then run before the listener's events.
         """
-        self.on_empty = on_empty
+        self.on_all_closed = on_all_closed
         if self.server is not None and self.listener is not None and self.server.is_serving():
-            while (caller := self._accept_next(self.listener)) is not None:
+            while (client_socket := self._accept_next(self.listener)) is not None:
                 task = self.loop.create_task(
-                    self.loop.connect_accepted_socket(lambda: Connection(self), caller))
-                self.accepting.add(task)
-                task.add_done_callback(self._accepted)
+                    self.loop.connect_accepted_socket(lambda: Connection(self), client_socket))
+                self.accept_tasks.add(task)
+                task.add_done_callback(self._accept_done)
             self.server.close()
-        self._notify_if_empty()
+        self._notify_if_all_closed()
 
     @staticmethod
     def _accept_next(listener: socket.socket) -> socket.socket | None:
         try:
-            caller, _ = listener.accept()
-        except OSError:  # none is left, or no descriptor for it
+            client_socket, _ = listener.accept()
+        except OSError:  # the queue is empty, or no file descriptor is available
             return None
-        caller.setblocking(False)
-        return caller
+        client_socket.setblocking(False)
+        return client_socket
 
-    def _accepted(self, task: asyncio.Task[object]) -> None:
-        self.accepting.discard(task)
-        self._notify_if_empty()
+    def _accept_done(self, task: asyncio.Task[object]) -> None:
+        self.accept_tasks.discard(task)
+        self._notify_if_all_closed()
 
     def has_unwritten_data(self) -> bool:
-        """Whether part of an answer has not left yet."""
+        """Whether part of a response is not written to its socket yet."""
         return any(c.transport.get_write_buffer_size() for c in self.connections)
 
     def _sweep(self) -> None:
-        """Guards against callers that keep a descriptor and ask nothing, or never come to an end."""
-        now, crowded = self.clock.now(), len(self.connections) * 2 > self.max_connections
-        self._close_older(self.silent, now - FIRST_BYTE_TIMEOUT_MS)
-        self._close_older(self.idle, now - (REDUCED_IDLE_TIMEOUT_MS if crowded else IDLE_TIMEOUT_MS))
-        while self.partial and (first := next(iter(self.partial))).since_ms <= now - SLOW_MS:
-            first.reject(408)
-        self.loop.call_later(SWEEP_S, self._sweep)
-
-    def _close_older(self, group: dict[Connection, None], than_ms: float) -> None:
-        while group and (first := next(iter(group))).since_ms <= than_ms:
+        """Close the connections that have timed out.
+
+        Otherwise clients that send no request, or never complete one, would keep file descriptors in use.
+        """
+        now, over_half_used = self.clock.now(), len(self.connections) * 2 > self.max_connections
+        self._close_expired(self.awaiting_first_byte, now - FIRST_BYTE_TIMEOUT_MS)
+        self._close_expired(
+            self.idle, now - (REDUCED_IDLE_TIMEOUT_MS if over_half_used else IDLE_TIMEOUT_MS))
+        while self.receiving and (
+                first := next(iter(self.receiving))).group_entered_ms <= now - REQUEST_TIMEOUT_MS:
+            first.reject_and_close(408)
+        self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+
+    def _close_expired(self, group: dict[Connection, None], cutoff_ms: float) -> None:
+        while group and (first := next(iter(group))).group_entered_ms <= cutoff_ms:
             first.close()
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,4 @@
-"""Callers over real sockets: what the proxy answers by itself, bad input, bounds, the end of service."""
+"""Connections from clients over real sockets: the proxy's own responses, bad input, limits and draining."""
 
 from __future__ import annotations
 
@@ -20,27 +20,27 @@
     with_timeout,
 )
 
-HEAD = b"X-Correlation-Id: abc\r\nX-Service-Class: read\r\nX-Time-Left: 900m\r\n"
-ORDER, PAY = HEAD.replace(b"read", b"order"), HEAD.replace(b"read", b"pay")
+READ_HEADERS = b"X-Correlation-Id: abc\r\nX-Service-Class: read\r\nX-Time-Left: 900m\r\n"
+ORDER_HEADERS, PAY_HEADERS = READ_HEADERS.replace(b"read", b"order"), READ_HEADERS.replace(b"read", b"pay")
 
 
 @pytest.mark.parametrize(("raw", "status"), [
     (b"nonsense\r\n\r\n", 400),
-    (b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"read", b"unheard") + b"\r\n", 400),
-    (b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"X-Time-Left: 900m\r\n", b"") + b"\r\n", 400),
-    (b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"900m", b"later") + b"\r\n", 400),
-    (b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"X-Correlation-Id: abc\r\n", b"") + b"\r\n", 400),
-    (b"POST /api HTTP/1.1\r\nContent-Length: 0\r\n" + ORDER + b"\r\n", 400),
-    (b"POST /api HTTP/1.1\r\nContent-Length: 0\r\n" + HEAD + b"\r\n", 400),
-    (b"GET /api HTTP/1.1\r\nContent-Length: 1\r\n" + HEAD + b"\r\nx", 400),
-    (b"GET /api HTTP/1.1\r\nIdempotency-Key: k\r\n" + HEAD + b"\r\n", 400),
-    (b"GET /api HTTP/1.1\r\nIdempotency-Key: k\r\n" + ORDER + b"\r\n", 400),
-    (b"POST /api HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n" + PAY
-     + b"\r\n0\r\n\r\nPOST /api HTTP/1.1\r\nContent-Length: 0\r\n" + PAY + b"\r\n", 400),
-    (b"POST /api HTTP/1.1\r\nContent-Length: 65537\r\n" + HEAD + b"\r\n", 413),
+    (b"GET /api HTTP/1.1\r\n" + READ_HEADERS.replace(b"read", b"unheard") + b"\r\n", 400),
+    (b"GET /api HTTP/1.1\r\n" + READ_HEADERS.replace(b"X-Time-Left: 900m\r\n", b"") + b"\r\n", 400),
+    (b"GET /api HTTP/1.1\r\n" + READ_HEADERS.replace(b"900m", b"later") + b"\r\n", 400),
+    (b"GET /api HTTP/1.1\r\n" + READ_HEADERS.replace(b"X-Correlation-Id: abc\r\n", b"") + b"\r\n", 400),
+    (b"POST /api HTTP/1.1\r\nContent-Length: 0\r\n" + ORDER_HEADERS + b"\r\n", 400),
+    (b"POST /api HTTP/1.1\r\nContent-Length: 0\r\n" + READ_HEADERS + b"\r\n", 400),
+    (b"GET /api HTTP/1.1\r\nContent-Length: 1\r\n" + READ_HEADERS + b"\r\nx", 400),
+    (b"GET /api HTTP/1.1\r\nIdempotency-Key: k\r\n" + READ_HEADERS + b"\r\n", 400),
+    (b"GET /api HTTP/1.1\r\nIdempotency-Key: k\r\n" + ORDER_HEADERS + b"\r\n", 400),
+    (b"POST /api HTTP/1.1\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n" + PAY_HEADERS
+     + b"\r\n0\r\n\r\nPOST /api HTTP/1.1\r\nContent-Length: 0\r\n" + PAY_HEADERS + b"\r\n", 400),
+    (b"POST /api HTTP/1.1\r\nContent-Length: 65537\r\n" + READ_HEADERS + b"\r\n", 413),
     (b"GET /api HTTP/1.1\r\nX-Long: " + b"x" * 20000 + b"\r\n\r\n", 431),
 ])
-def test_bad_input_is_answered_by_the_proxy_and_sent_nowhere(raw: bytes, status: int) -> None:
+def test_the_proxy_answers_bad_input_itself_and_sends_nothing_to_backends(raw: bytes, status: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -48,7 +48,7 @@
             assert await client.round_trip(raw) == status
             assert await client.reaches_eof()
             assert backend.requests == []
-            other = await Client.connect(harness.port)  # and the others are served
+            other = await Client.connect(harness.port)  # another client is still served
             other.send()
             assert await other.read_status() == 200
         await backend.stop()
@@ -56,19 +56,20 @@
 
 
 @pytest.mark.parametrize("path", [b"/", b"/apis", b"/health", b"/health/ready/x", b"*"])
-def test_an_unknown_path_is_not_found_and_the_connection_stays(path: bytes) -> None:
+def test_an_unknown_path_gets_a_404_and_the_connection_stays_open(path: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
-            assert await client.round_trip(b"OPTIONS " + path + b" HTTP/1.1\r\n" + HEAD + b"\r\n") == 404
+            assert await client.round_trip(
+                b"OPTIONS " + path + b" HTTP/1.1\r\n" + READ_HEADERS + b"\r\n") == 404
             client.send()
             assert await client.read_status() == 200
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_requests_on_one_connection_are_answered_in_their_order() -> None:
+def test_requests_on_one_connection_are_answered_in_order() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [
@@ -78,22 +79,23 @@
         ]
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
-            names = [client.send() for _ in range(3)]
-            assert [(await client.read_response())[2] for _ in names] == [b"one", b"two", b"three"]
-            assert [r[1][b"x-correlation-id"].decode() for r in backend.requests] == names
+            request_ids = [client.send() for _ in range(3)]
+            assert [(await client.read_response())[2] for _ in request_ids] == [b"one", b"two", b"three"]
+            assert [r[1][b"x-correlation-id"].decode() for r in backend.requests] == request_ids
         await backend.stop()
     run_with_timeout(main())
 
 
-@pytest.mark.parametrize("number", [downstream.MAX_PIPELINED + 1, 400])
-def test_a_client_that_sends_requests_by_the_hundred_is_answered_once_and_closed(number: int) -> None:
+@pytest.mark.parametrize("request_count", [downstream.MAX_PIPELINED_REQUESTS + 1, 400])
+def test_a_client_that_pipelines_too_much_gets_one_response_and_is_closed(request_count: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client, other = await Client.connect(harness.port), await Client.connect(harness.port)
-            for k in range(number):
-                client.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD.replace(b"abc", b"abc%d" % k) + b"\r\n")
+            for k in range(request_count):
+                client.writer.write(
+                    b"GET /api HTTP/1.1\r\n" + READ_HEADERS.replace(b"abc", b"abc%d" % k) + b"\r\n")
             assert await client.read_status() == 400
             assert await client.reaches_eof()
             assert len(backend.requests) <= 1
@@ -110,12 +112,16 @@
 
 
 @pytest.mark.parametrize("raw", [
-    b"POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n" + HEAD + b"\r\n" + b"x" * 4_000_000,
+    b"POST /api HTTP/1.1\r\nContent-Length: 60000000\r\n" + READ_HEADERS + b"\r\n" + b"x" * 4_000_000,
     b"GET /api HTTP/1.1\r\n" + b"X-Pad: pppp\r\n" * 400_000,
     b"\x00\xff" * 2_000_000,
 ])
-def test_a_client_that_goes_on_sending_still_gets_the_answer(raw: bytes) -> None:
-    """It is read and thrown away for a while, since closing on unread bytes would take the answer back."""
+def test_a_client_that_continues_sending_still_gets_the_response(raw: bytes) -> None:
+    """The proxy reads and discards the input for a while.
+
+    Otherwise closing the socket with unread input would reset the connection, and the client would lose the
+    response.
+    """
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -130,7 +136,7 @@
     run_with_timeout(main())
 
 
-def test_a_last_answer_arrives_though_more_was_sent_behind_the_request() -> None:
+def test_the_final_response_arrives_even_if_input_follows_the_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -144,23 +150,23 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nContent-Le", b"GET /none HTTP/1.1\r\n\r\n"])
-def test_who_asks_nothing_is_closed_after_a_while(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
-    for name in ("FIRST_BYTE_TIMEOUT_MS", "IDLE_TIMEOUT_MS", "SLOW_MS"):
+def test_a_connection_without_an_open_request_times_out(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+    for name in ("FIRST_BYTE_TIMEOUT_MS", "IDLE_TIMEOUT_MS", "REQUEST_TIMEOUT_MS"):
         monkeypatch.setattr(downstream, name, 50.0)
-    monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
+    monkeypatch.setattr(downstream, "SWEEP_INTERVAL_S", 0.02)
 
     async def main() -> None:
         async with synced_proxy([]) as harness:
             client = await Client.connect(harness.port)
             client.writer.write(sent)
-            await with_timeout(client.reader.read())  # to its end
-            front = harness.proxy.frontend
-            await wait_until(lambda: not front.connections)
-            assert not any((front.silent, front.partial, front.idle))
+            await with_timeout(client.reader.read())  # reads until the proxy closes the connection
+            frontend = harness.proxy.frontend
+            await wait_until(lambda: not frontend.connections)
+            assert not any((frontend.awaiting_first_byte, frontend.receiving, frontend.idle))
     run_with_timeout(main())
 
 
-def test_a_time_left_of_years_is_held_to_the_deadline_of_the_class() -> None:
+def test_an_excessive_time_left_is_limited_to_the_deadline_of_the_class() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -169,14 +175,14 @@
             assert await client.read_status() == 200
             (event,) = [e for e in harness.events if isinstance(e, api.RequestArrived)]
             assert event.remaining_ms <= 5000.0
-            left = http1.parse_duration_ms(backend.requests[0][1][b"x-time-left"])
-            assert left is not None
-            assert left <= 5000.0
+            time_left_ms = http1.parse_duration_ms(backend.requests[0][1][b"x-time-left"])
+            assert time_left_ms is not None
+            assert time_left_ms <= 5000.0
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_a_sound_request_is_answered_before_the_malformed_one_behind_it() -> None:
+def test_a_valid_request_is_answered_before_the_malformed_one_that_follows_it() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -190,14 +196,14 @@
     run_with_timeout(main())
 
 
-def test_a_client_that_asks_for_it_is_told_to_go_on() -> None:
+def test_a_client_that_expects_100_continue_gets_it() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.writer.write(
                 b"POST /api HTTP/1.1\r\nContent-Length: 2\r\nExpect: 100-continue\r\n"
-                + HEAD.replace(b"read", b"pay") + b"\r\n")
+                + READ_HEADERS.replace(b"read", b"pay") + b"\r\n")
             assert await client.read_status() == 100
             client.writer.write(b"ok")
             assert await client.read_status() == 200
@@ -207,7 +213,7 @@
     run_with_timeout(main())
 
 
-def test_over_the_bound_on_open_requests_a_request_is_refused_at_once() -> None:
+def test_a_request_above_the_limit_on_open_requests_is_rejected_at_once() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
@@ -222,15 +228,15 @@
     run_with_timeout(main())
 
 
-def test_an_id_that_is_open_is_not_taken_again() -> None:
+def test_a_second_request_with_the_id_of_an_open_one_gets_a_409() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             first, second = await Client.connect(harness.port), await Client.connect(harness.port)
-            first.writer.write(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n")
+            first.writer.write(b"GET /api HTTP/1.1\r\n" + READ_HEADERS + b"\r\n")
             await with_timeout(backend.request_received.wait())
-            assert await second.round_trip(b"GET /api HTTP/1.1\r\n" + HEAD + b"\r\n") == 409
+            assert await second.round_trip(b"GET /api HTTP/1.1\r\n" + READ_HEADERS + b"\r\n") == 409
             for writer in list(backend.writers):
                 writer.write(make_response())
             assert await first.read_status() == 200
@@ -238,10 +244,11 @@
     run_with_timeout(main())
 
 
-def test_beyond_the_bound_on_callers_the_silent_go_first_and_then_new_ones_are_refused(
+def test_above_the_connection_limit_waiting_clients_are_evicted_and_then_new_ones_are_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(downstream, "YOUNG_MS", 0.0)
+    """Clients that have sent nothing, or only part of a request, are evicted first."""
+    monkeypatch.setattr(downstream, "MIN_EVICTION_AGE_MS", 0.0)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -255,49 +262,49 @@
             busy.send()
             await with_timeout(backend.request_received.wait())
             silent = await Client.connect(harness.port)
-            await wait_until(lambda: len(harness.proxy.frontend.silent) == 1)
-            third = await Client.connect(harness.port)
+            await wait_until(lambda: len(harness.proxy.frontend.awaiting_first_byte) == 1)
+            incomplete = await Client.connect(harness.port)
             assert await silent.reaches_eof()
-            third.writer.write(b"GET /api HT")
-            await wait_until(lambda: len(harness.proxy.frontend.partial) == 1)
-            fourth = await Client.connect(harness.port)
-            assert await third.reaches_eof()
-            for client in (idle, fourth):
+            incomplete.writer.write(b"GET /api HT")
+            await wait_until(lambda: len(harness.proxy.frontend.receiving) == 1)
+            replacement = await Client.connect(harness.port)
+            assert await incomplete.reaches_eof()
+            for client in (idle, replacement):
                 backend.request_received.clear()
                 client.send()
                 await with_timeout(backend.request_received.wait())
-            fifth = await Client.connect(harness.port)  # all are busy now
-            assert await fifth.read_status() == 503
-            assert await fifth.reaches_eof()
+            rejected = await Client.connect(harness.port)  # all other connections have an open request now
+            assert await rejected.read_status() == 503
+            assert await rejected.reaches_eof()
             assert len(backend.requests) == 4
             for writer in list(backend.writers):
                 writer.write(make_response())
-            for client in (busy, idle, fourth):
+            for client in (busy, idle, replacement):
                 assert await client.read_status() == 200
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_a_flood_of_callers_that_are_turned_away_keeps_to_the_bound_and_all_are_answered(
+def test_many_rejected_clients_stay_within_the_connection_limit_and_all_get_a_response(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards the descriptors: else what lingers after its last answer leaves none for all the rest."""
-    monkeypatch.setattr(downstream, "LINGER_S", 60.0)
+    """Lingering connections are evicted first, because many of them would use up all file descriptors."""
+    monkeypatch.setattr(downstream, "LINGER_TIMEOUT_S", 60.0)
 
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
-            front = harness.proxy.frontend
-            front.max_connections = 8
+            frontend = harness.proxy.frontend
+            frontend.max_connections = 8
             busy = await Client.connect(harness.port)
             backend.default_response = None
             busy.send()
             await with_timeout(backend.request_received.wait())
-            crowd = []
+            rejected_clients = []
             for _ in range(40):
-                crowd.append(await Client.connect(harness.port))  # who stay
-                assert await crowd[-1].round_trip(b"nonsense\r\n\r\n") == 400
-                assert len(front.connections) <= front.max_connections
+                rejected_clients.append(await Client.connect(harness.port))  # the client keeps it open
+                assert await rejected_clients[-1].round_trip(b"nonsense\r\n\r\n") == 400
+                assert len(frontend.connections) <= frontend.max_connections
             for writer in list(backend.writers):
                 writer.write(make_response())
             assert await busy.read_status() == 200
@@ -306,9 +313,9 @@
     run_with_timeout(main())
 
 
-def test_part_of_a_request_does_not_stay_for_ever(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(downstream, "SLOW_MS", 50.0)
-    monkeypatch.setattr(downstream, "SWEEP_S", 0.02)
+def test_an_incomplete_request_times_out_with_a_408(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(downstream, "REQUEST_TIMEOUT_MS", 50.0)
+    monkeypatch.setattr(downstream, "SWEEP_INTERVAL_S", 0.02)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -318,13 +325,13 @@
             assert await idle.read_status() == 200
             assert await slow.round_trip(b"POST /api HTTP/1.1\r\nContent-Length: 9\r\n\r\nhalf") == 408
             assert await slow.reaches_eof()
-            idle.send()  # one that is merely idle stays
+            idle.send()  # the idle connection stays open
             assert await idle.read_status() == 200
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_draining_finishes_what_is_taken_and_closes_the_rest() -> None:
+def test_draining_serves_the_open_requests_and_closes_idle_connections() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
@@ -335,7 +342,8 @@
             await with_timeout(backend.request_received.wait())
             harness.proxy.drain()
             assert await idle.reaches_eof()
-            late = await Client.connect(harness.port)  # the front still sends connections for a moment
+            # For a moment, the proxy still accepts new connections.
+            late = await Client.connect(harness.port)
             assert await late.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
             assert await late.reaches_eof()
             late = await Client.connect(harness.port)
@@ -348,13 +356,17 @@
                 assert (first.split()[1], headers[b"connection"], body) == (b"200", b"close", b"done")
                 assert await client.reaches_eof()
             assert harness.task is not None
-            await with_timeout(asyncio.shield(harness.task))  # it ends by itself once nothing is open
+            await with_timeout(asyncio.shield(harness.task))  # ends once all connections are closed
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_who_stands_in_line_when_the_listener_closes_is_still_served() -> None:
-    """The loop is late, every time: the caller comes in the very turn in which the listener's time is up."""
+def test_a_client_in_the_accept_queue_is_served_when_the_listener_closes() -> None:
+    """The client connects while the event loop is late, before the timer that closes the listener runs.
+
+    Closing the listener would reset the connection. To make the loop late in every run, the test connects and
+    closes the listener within one turn of the loop.
+    """
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -365,8 +377,8 @@
                     b"X-Time-Left: 4000m\r\n\r\n")
                 harness.proxy._close_listener()
                 late.setblocking(False)
-                answer = await with_timeout(asyncio.get_running_loop().sock_recv(late, 4096))
-            assert answer.startswith(b"HTTP/1.1 200 ")
+                response = await with_timeout(asyncio.get_running_loop().sock_recv(late, 4096))
+            assert response.startswith(b"HTTP/1.1 200 ")
             assert harness.task is not None
             await with_timeout(asyncio.shield(harness.task))
             assert len(backend.requests) == 1
@@ -374,10 +386,10 @@
     run_with_timeout(main())
 
 
-def test_after_the_cut_off_what_comes_is_refused_and_answers_leave_whole(
+def test_before_the_process_ends_new_requests_are_rejected_and_responses_are_fully_written(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """One caller has its answer half taken off when the process is about to end, another one just asks."""
+    """When the proxy is about to end, one client has part of its response, and another sends a request."""
     monkeypatch.setattr("honeywharf.__main__.MAX_FLUSH_MS", 1e6)
 
     async def main() -> None:
@@ -387,14 +399,14 @@
             loop = asyncio.get_running_loop()
             late = await Client.connect(harness.port)
             late.writer.write(b"GET /api HTTP/1.1\r\n")
-            await wait_until(lambda: len(harness.proxy.frontend.partial) == 1)
+            await wait_until(lambda: len(harness.proxy.frontend.receiving) == 1)
             with socket.socket() as slow:
                 slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
                 slow.setblocking(False)
                 await loop.sock_connect(slow, ("127.0.0.1", harness.port))
-                await wait_until(lambda: len(harness.proxy.frontend.silent) == 1)
-                (caller,) = harness.proxy.frontend.silent
-                caller.transport.get_extra_info("socket").setsockopt(
+                await wait_until(lambda: len(harness.proxy.frontend.awaiting_first_byte) == 1)
+                (connection,) = harness.proxy.frontend.awaiting_first_byte
+                connection.transport.get_extra_info("socket").setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
                 await loop.sock_sendall(
                     slow, b"GET /api HTTP/1.1\r\nX-Correlation-Id: slow\r\nX-Service-Class: read\r\n"
@@ -408,17 +420,17 @@
                 harness.proxy._stop_when_flushed(harness.proxy.clock.now() + 1e6)
                 assert not harness.proxy.stopped.is_set()
                 slow.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1 << 20)
-                whole = b""
-                while not whole.endswith(b"end"):
-                    whole += await with_timeout(loop.sock_recv(slow, 1 << 20))
-            assert whole.endswith(b"\r\n\r\n" + b"x" * 900_000 + b"end")
+                received = b""
+                while not received.endswith(b"end"):
+                    received += await with_timeout(loop.sock_recv(slow, 1 << 20))
+            assert received.endswith(b"\r\n\r\n" + b"x" * 900_000 + b"end")
             await wait_until(harness.proxy.stopped.is_set)
             assert len(backend.requests) == 1
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_the_end_comes_even_when_a_backend_never_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_draining_ends_even_if_a_backend_never_responds(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("honeywharf.__main__.MAX_DRAIN_MS", 100.0)
 
     async def main() -> None:
