--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -139,7 +139,7 @@
         changed = {k: v - self.told.get(k, 0) for k, v in counts.items() if v != self.told.get(k, 0)}
         if changed:
             log("stats " + " ".join(f"{k.replace(' ', '_')}={v}" for k, v in sorted(changed.items())))
-            log("list " + self.watch.summary())
+            log("list " + self.watch.list_summary())
             log("zones " + self.driver.balancer.summary())
         self.told = counts
         self.loop.call_later(STATS_S, self._stats)
--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -1,4 +1,8 @@
-"""The watch on service discovery: long-polls the endpoint list, and says until when it may be used."""
+"""The client of service discovery: it long-polls the endpoint list and tracks when the list expires.
+
+With polled discovery, the balancer requests each watch, and is notified when a poll fails. With pushed lists,
+a discovery agent answers the polls, and the client sends and retries them by itself.
+"""
 
 from __future__ import annotations
 
@@ -19,49 +23,58 @@
 from honeywharf.net.log import log
 from honeywharf.policy.list_freshness import MAX_POLL_GAP_MS, ListFreshness
 
-PATH = "/registry/instances"
+INSTANCES_PATH = "/registry/instances"
 CONNECT_TIMEOUT_MS = 1000.0
-AGENT_RESPONSE_MS = 250.0  # an agent that pushes lists answers a new poll within milliseconds, if it is up
-# Polls that do not wait queue at discovery behind those of all proxies, which takes seconds after a reload.
-# Guards against giving up a place in that queue for the last one, over and over: the list then stays as it
-# was. A full list takes discovery longer, for itself and for those before it in the queue.
-POLL_TIMEOUT_MS = 3500.0
+# A discovery agent counts as down if it leaves a short poll without a response for this long. An agent that
+# is up starts its answer within milliseconds.
+AGENT_RESPONSE_TIMEOUT_MS = 250.0
+# A short poll, which does not wait for changes, queues at discovery behind those of all other proxies. After
+# a reload that takes seconds. With a shorter timeout, a proxy would go back to the end of the queue again and
+# again, and its list would stay stale.
+SHORT_POLL_TIMEOUT_MS = 3500.0
+# Discovery takes longer for full lists, both for the proxy's own and for those that are queued before it.
 FULL_LIST_TIMEOUT_MS = 5000.0
-EMPTY_POLL_PAUSE_S = 0.05  # before the next poll where a response came at once with nothing new
-# Of the grace for drains, at most, between the first and the last byte of an answer: it tells what it says as
-# soon as it is written, and the rest of the grace is for the calls that are just leaving.
-ANSWER_SHARE_OF_GRACE = 0.5
-# The first retry comes within a random time between these, the next within twice that.
-INITIAL_BACKOFF_S = (0.02, 0.1)
+# The pause before the next poll after an answer that came at once and had no changes.
+EMPTY_ANSWER_PAUSE_S = 0.05
+# The longest time between the first and the last byte of an answer, as a fraction of the drain grace period.
+# The proxy is deemed notified of the changes in an answer as soon as discovery writes it. The rest of the
+# grace period is left for calls that are being sent.
+MAX_ANSWER_FRACTION_OF_DRAIN_GRACE = 0.5
+# The first retry comes after a random time in this range. Both bounds double with each further failure.
+INITIAL_BACKOFF_RANGE_S = (0.02, 0.1)
 MAX_BACKOFF_S = 1.0
 MAX_BACKOFF_DOUBLINGS = 6
-# Of the grace for drains, at most, where lists are pushed: the rest is for the poll itself.
-BACKOFF_SHARE_OF_GRACE = 0.5
-# An answer of so many entries, or after so long in discovery's queue, is a line in the log of its own.
-LOGGED_ENTRIES = 20
-LOGGED_WAIT_MS = 1000.0
+# The longest backoff where lists are pushed, as a fraction of the drain grace period. The rest of the grace
+# period is left for the poll itself.
+MAX_BACKOFF_FRACTION_OF_DRAIN_GRACE = 0.5
+# An answer is logged if it has this many entries, or if its poll spent this long in discovery's queue.
+MIN_LOGGED_ENTRIES = 20
+MIN_LOGGED_WAIT_MS = 1000.0
 OK = 200
 SERVICE_UNAVAILABLE = 503
 
 
 @dataclass(slots=True, eq=False)
 class Poll:
-    """One call to discovery."""
+    """One poll of discovery."""
 
-    number: int  # for the log
+    number: int  # identifies the poll in the log
     sent_ms: float
-    full: bool = False  # it asks for the full list
-    # It continues a watch, as far as is known, and waits for changes. Others may queue at discovery before
-    # they are answered.
-    long: bool = False
+    is_full: bool = False  # requests the full list
+    # A long poll continues a watch, as far as the proxy knows, and waits for changes. Other polls may queue
+    # at discovery before they are answered.
+    is_long: bool = False
     wait_ms: int = 0
-    watch_stands: bool = False  # it is sure to continue its watch
-    answer_began_ms: float | None = None
-    answer_timer: asyncio.TimerHandle | None = None  # until the answer has to be whole
+    continues_active_watch: bool = False  # certain, not only expected, to continue the watch
+    answer_started_ms: float | None = None
+    answer_timer: asyncio.TimerHandle | None = None  # fires if the answer is incomplete for too long
 
 
 class DiscoveryClient:
-    """Polls discovery, one poll at a time on one connection; a new connection whenever one fails."""
+    """Polls discovery, with one poll at a time on one connection, and reconnects after each failure.
+
+    `polled`: the balancer requests each watch and is notified when a poll fails. Otherwise lists are pushed.
+    """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, address: Address, directory: EndpointDirectory,
@@ -71,116 +84,126 @@
         drain_grace_ms = rules.drain_grace_ms
         self.loop, self.clock, self.address, self.directory = loop, clock, address, directory
         self.notify = notify
-        self.polled = polled  # the module asks for each watch, and is notified when one fails
-        # Guards against sending past the grace where lists are pushed: what the agent has when it returns
-        # counts as told in that moment, whether or not this proxy has polled again yet.
+        self.polled = polled
+        # Where lists are pushed and the agent was down, the proxy is deemed notified of everything that the
+        # agent has as soon as the agent returns, whether or not the proxy has polled again. With a longer
+        # backoff, it would send requests to draining servers after the grace period.
         self.max_backoff_s = MAX_BACKOFF_S if polled else min(
-            MAX_BACKOFF_S, max(INITIAL_BACKOFF_S[0], BACKOFF_SHARE_OF_GRACE * drain_grace_ms / 1000.0))
-        self.max_answer_s = ANSWER_SHARE_OF_GRACE * drain_grace_ms / 1000.0
+            MAX_BACKOFF_S,
+            max(INITIAL_BACKOFF_RANGE_S[0], MAX_BACKOFF_FRACTION_OF_DRAIN_GRACE * drain_grace_ms / 1000.0))
+        self.max_answer_duration_s = MAX_ANSWER_FRACTION_OF_DRAIN_GRACE * drain_grace_ms / 1000.0
         self.watch_requested = False
         self.full_list_requested = False
-        self.address_changed = False  # until the new address has answered
-        self.initialized = False  # it has been answered, or has timed out
-        self.last_answer_ms = float("-inf")  # when the last poll's answer began, if it was answered
+        self.address_changed = False  # true until the new address has answered
+        self.initialized = False  # true once a poll has been answered or has timed out
+        self.last_answer_started_ms = float("-inf")  # -inf if the last poll failed or timed out
         self.freshness = ListFreshness(rules.poll_interval_ms if polled else 0.0)
-        self.expiry = ListExpiry(loop, clock, self.freshness, notify, self._expiry_reached)
-        # A poll that reached discovery brought no list; and the list of the last run may lack anything.
+        self.expiry = ListExpiry(loop, clock, self.freshness, notify, self._on_expiry_due)
+        # Whether discovery may have changes that the current list lacks: a poll may have reached discovery
+        # but brought no list, or the list is still that of the last run.
         self.may_have_missed_changes = True
-        self.failures = 0  # in a row
+        self.consecutive_failures = 0
         self.random = random.Random()
         self.connection: DiscoveryConnection | None = None
-        self.poll: Poll | None = None  # the one in flight
-        self.polls = 0
-        self.counts: dict[str, int] = {}  # of polls by what became of them, for the operator
+        self.poll: Poll | None = None  # the poll in flight
+        self.poll_count = 0
+        self.counts: dict[str, int] = {}  # event counters for the `stats` line of the log
         self.connect_task: asyncio.Task[None] | None = None
-        self.poll_timer: asyncio.TimerHandle | None = None  # the poll's timeout, or the pause before the next
+        # The timeout of the poll in flight, or the pause before the next poll.
+        self.poll_timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Have nothing sent until discovery has answered: the list of the last run is of unknown age.
+        """Expire the list of the last run, whose age is unknown; where lists are pushed, start to poll.
 
-        Changes made while the proxy was away count as told by when they were made, not by when it started.
+        The proxy is deemed notified of a change made while it was down at a time that depends on when the
+        change was made, not on when the proxy started. So nothing is sent until discovery has answered.
         """
-        self._expire("the age of the list of the last run is not known")
+        self._expire("its age is unknown after a restart")
         if not self.polled:
             self.watch()
 
-    # Requests of the module and of the process.
+    # Requests of the balancer and of the process.
 
     def watch(self) -> None:
-        """Subscribe to changes from now on."""
+        """Poll for changes from now on; with polled discovery, until a poll fails."""
         self.watch_requested = True
-        self._poll()
+        self._start_next_poll()
 
     def fetch(self) -> None:
-        """Request the full list once."""
+        """Request the full list with the next poll."""
         self.full_list_requested = True
-        self._poll()
+        self._start_next_poll()
 
     def change_address(self, address: Address) -> None:
-        """Switch to another address at once, whatever the present poll's state; the list held stays.
+        """Switch to another address at once and abandon the poll in flight; the current list stays.
 
-        It is the same service, so the changes since the generation held are asked for. Guards against all
-        proxies asking for full lists at once, which takes discovery longer than the list held may be used.
+        The service is the same, so the proxy requests the changes since the current generation. If all
+        proxies requested full lists at once, sending them would take discovery longer than the time until
+        the current lists expire.
         """
         if address == self.address:
             return
-        self.expiry.move()
+        self.expiry.expire_sooner()
         self.address, self.address_changed = address, True
-        self.failures, self.may_have_missed_changes = 0, True
-        self.last_answer_ms = float("-inf")
+        self.consecutive_failures, self.may_have_missed_changes = 0, True
+        self.last_answer_started_ms = float("-inf")
         connect_task, self.connect_task = self.connect_task, None
         if connect_task is not None:
             connect_task.cancel()
         self.poll = None
         self._cancel_poll_timer()
         self._close_connection()
-        self._poll()
+        self._start_next_poll()
 
-    # Until when the list held may be used.
+    # The expiry of the current list.
 
-    def _expiry_reached(self) -> None:
-        """Have nothing sent any more, as changes that the list held may lack count as told.
+    def _on_expiry_due(self) -> None:
+        """Expire the list, because the proxy is deemed notified of changes that the list may lack.
 
-        But an agent that accepts a new poll and does not respond is down and learns nothing: no time passes.
+        If the agent is down, keep the list as current instead: the agent learns of no changes meanwhile.
         """
-        if self._agent_down():
-            self.expiry.confirm_at_end()
+        if self._is_agent_down():
+            self.expiry.confirm_current_at_expiry()
         else:
-            self._expire("changes that it may lack count as told")
+            self._expire("the proxy is deemed notified of changes that it may lack")
 
-    def _expire(self, why: str) -> None:
-        """Have nothing sent until the next list."""
-        log(f"discovery: the list is overdue, {why}: {self.summary()}")
+    def _expire(self, reason: str) -> None:
+        """Log and count the expiry, and let the balancer send nothing until the next list arrives."""
+        log(f"discovery: the endpoint list has expired because {reason}: {self.list_summary()}")
         self._count("lists overdue")
         self.expiry.expire()
 
-    def _agent_down(self) -> bool:
-        """Whether lists are pushed and the agent leaves a new poll without any response."""
+    def _is_agent_down(self) -> bool:
+        """Return whether lists are pushed, and the agent has not responded to a short poll in time.
+
+        An agent that is down can accept connections and polls, but learns of no changes.
+        """
         poll = self.poll
-        return not self.polled and poll is not None and not poll.long and poll.answer_began_ms is None and (
-            self.clock.now() - poll.sent_ms >= AGENT_RESPONSE_MS)
+        return (
+            not self.polled and poll is not None and not poll.is_long and poll.answer_started_ms is None and (
+                self.clock.now() - poll.sent_ms >= AGENT_RESPONSE_TIMEOUT_MS))
 
-    # For the operator.
+    # Log lines and counters.
 
-    def summary(self) -> str:
-        """How the list held stands, in a few words: its generation, its age, and the poll in flight."""
+    def list_summary(self) -> str:
+        """Describe the current list and the poll in flight for the log."""
         age_s = (self.clock.now() - self.freshness.last_known_current_ms) / 1000.0
         age = f"{age_s:.2f} s" if age_s < float("inf") else "unknown"
-        poll = f" {self._poll_figures(self.poll)}" if self.poll is not None else ""
+        poll = f" {self._describe_poll(self.poll)}" if self.poll is not None else ""
         return (f"generation={self.directory.generation} endpoints={len(self.directory.endpoint_ids)} "
-                f"age={age} overdue={'yes' if self.expiry.overdue else 'no'}{poll}")
+                f"age={age} overdue={'yes' if self.expiry.expired else 'no'}{poll}")
 
-    def _poll_figures(self, poll: Poll) -> str:
-        waits = f" of which {poll.wait_ms} ms may wait" if poll.long else ""
+    def _describe_poll(self, poll: Poll) -> str:
+        waits = f" of which {poll.wait_ms} ms may wait" if poll.is_long else ""
         return f"poll {poll.number} for {self.clock.now() - poll.sent_ms:.0f} ms{waits}"
 
-    def _count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
+    def _count(self, counter: str) -> None:
+        self.counts[counter] = self.counts.get(counter, 0) + 1
 
     # Sending polls.
 
-    def _poll(self) -> None:
-        """Send the next poll, if one is requested and none is in flight; connect first where necessary."""
+    def _start_next_poll(self) -> None:
+        """Send the next poll if one is requested and none is in flight; connect first if necessary."""
         if self.poll is not None or self.connect_task is not None:
             return
         if not (self.watch_requested or self.full_list_requested or self.address_changed):
@@ -194,104 +217,105 @@
 
     def _send_poll(self, transport: asyncio.Transport) -> None:
         now = self.clock.now()
-        self.polls += 1
-        poll = self.poll = Poll(self.polls, now, full=self.full_list_requested)
-        if not poll.full and now <= self.last_answer_ms + MAX_POLL_GAP_MS:
-            poll.long, poll.wait_ms = True, self.freshness.wait_ms(now)
-            poll.watch_stands = self.freshness.is_watch_active(now)
+        self.poll_count += 1
+        poll = self.poll = Poll(self.poll_count, now, is_full=self.full_list_requested)
+        if not poll.is_full and now <= self.last_answer_started_ms + MAX_POLL_GAP_MS:
+            poll.is_long, poll.wait_ms = True, self.freshness.wait_ms(now)
+            poll.continues_active_watch = self.freshness.is_watch_active(now)
         self._set_poll_timer(self._poll_timeout_ms(poll) / 1000.0, self._poll_timed_out)
         host = f"{self.address[0]}:{self.address[1]}"
         transport.write(f"GET {self._poll_target(poll)} HTTP/1.1\r\nHost: {host}\r\n\r\n".encode())
 
     def _poll_target(self, poll: Poll) -> str:
-        if poll.full:
-            return PATH
-        return f"{PATH}?after={self.directory.generation}&wait_ms={poll.wait_ms}"
+        if poll.is_full:
+            return INSTANCES_PATH
+        return f"{INSTANCES_PATH}?after={self.directory.generation}&wait_ms={poll.wait_ms}"
 
     def _poll_timeout_ms(self, poll: Poll) -> float:
-        if poll.long:
+        if poll.is_long:
             return self.freshness.long_poll_timeout_ms(poll.sent_ms, poll.wait_ms)
-        return FULL_LIST_TIMEOUT_MS if poll.full else POLL_TIMEOUT_MS
+        return FULL_LIST_TIMEOUT_MS if poll.is_full else SHORT_POLL_TIMEOUT_MS
 
     async def _connect(self) -> None:
         connection, task = DiscoveryConnection(self), asyncio.current_task()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_MS / 1000.0):
                 await self.loop.create_connection(lambda: connection, *self.address)
-        except OSError as fault:  # a timeout is one too
+        except OSError as error:  # TimeoutError is a subclass.
             connection.close()
             if self.connect_task is task:
-                self._connect_failed(fault)
+                self._connect_failed(error)
             return
         except asyncio.CancelledError:
             connection.close()
             raise
-        if self.connect_task is not task:  # the address changed in the very turn in which this came up
+        if self.connect_task is not task:
+            # The address changed in the same iteration of the event loop that established the connection.
             connection.close()
             return
         self.connect_task, self.connection = None, connection
-        self._poll()
+        self._start_next_poll()
 
-    def _connect_failed(self, fault: OSError) -> None:
+    def _connect_failed(self, error: OSError) -> None:
         self.connect_task = None
         self._count("polls not connected")
-        if isinstance(fault, ConnectionRefusedError) and not self.may_have_missed_changes:
-            # It is down, so that nothing counts from before now. Other faults may be the network's, or this
-            # proxy's own, and do not show that.
-            self.expiry.confirm()
-        self._poll_failed(reached=False)
+        if isinstance(error, ConnectionRefusedError) and not self.may_have_missed_changes:
+            # Discovery is down and learns of no changes, so the list is current. Other errors do not prove
+            # that, because their cause may be in the network or in this proxy.
+            self.expiry.confirm_current()
+        self._poll_failed(may_lack_changes=False)
 
-    # The ends of polls.
+    # Answers and failures.
 
     def data_received(self, connection: DiscoveryConnection, data: bytes) -> None:
-        """Read the response; once it is complete, apply it, notify the module and poll again at once."""
+        """Read the response; once it is complete, apply it, notify the balancer and send the next poll."""
         poll = self.poll
         if poll is None:
-            log("discovery: an answer that nobody asked for")
+            log("discovery: received data while no poll is in flight")
             self._poll_failed()
             return
-        if poll.answer_began_ms is None:
-            poll.answer_began_ms = self.clock.now()
+        if poll.answer_started_ms is None:
+            poll.answer_started_ms = self.clock.now()
         try:
             response = connection.reader.feed(data)
             if response is None:
-                self._answer_arrives(poll)
+                self._start_answer_timer(poll)
                 return
             if poll.answer_timer is not None:
                 poll.answer_timer.cancel()
-            if response.status == SERVICE_UNAVAILABLE and poll.watch_stands:
+            if response.status == SERVICE_UNAVAILABLE and poll.continues_active_watch:
                 self._watch_ended(poll)
                 return
             event = self._apply(response, poll)
-        except OlderGenerationError as fault:
-            log(f"discovery: {self._poll_figures(poll)}: {fault}")
+        except OlderGenerationError as error:
+            log(f"discovery: {self._describe_poll(poll)}: {error}")
             self._poll_for_full_list()
             return
-        except (http1.MalformedError, ValueError) as fault:
+        except (http1.MalformedError, ValueError) as error:
             self._count("polls failed")
-            log(f"discovery: {self._poll_figures(poll)}: {fault}")
+            log(f"discovery: {self._describe_poll(poll)}: {error}")
             self._poll_failed()
             return
         self._poll_succeeded(poll, event, keep_alive=response.keep)
 
-    def _answer_arrives(self, poll: Poll) -> None:
-        """Part of an answer has come: what the rest says counts as told already."""
+    def _start_answer_timer(self, poll: Poll) -> None:
+        """Limit the time for the rest of an answer: the proxy is deemed notified of its changes already."""
         if poll.answer_timer is None:
-            poll.answer_timer = self.loop.call_later(self.max_answer_s, self._answer_incomplete, poll)
+            poll.answer_timer = self.loop.call_later(self.max_answer_duration_s, self._answer_timed_out, poll)
 
-    def _answer_incomplete(self, poll: Poll) -> None:
-        """Have nothing sent until the rest of a slow answer has come, or another one in its place."""
-        began_ms = poll.answer_began_ms
-        newer = began_ms is not None and self.freshness.last_known_current_ms > began_ms
-        if not self.expiry.overdue and not newer:
-            self._expire(f"an answer has come in part, on {self._poll_figures(poll)}")
+    def _answer_timed_out(self, poll: Poll) -> None:
+        """Expire the list until the rest of a slow answer, or another answer in its place, has arrived."""
+        started_ms = poll.answer_started_ms
+        superseded = started_ms is not None and self.freshness.last_known_current_ms > started_ms
+        if not self.expiry.expired and not superseded:
+            self._expire(f"only part of an answer has arrived ({self._describe_poll(poll)})")
 
     def _apply(self, response: http1.Response, poll: Poll) -> api.EndpointsListed:
-        """Apply the list in a response to the directory; ValueError where there is none."""
+        """Apply the list in a response to the directory; raise ValueError if the response has none."""
         if response.status != OK:
-            raise ValueError(f"status {response.status}")
+            raise ValueError(f"unexpected status {response.status}")
         generation = self.directory.generation
-        event = self.directory.apply(orjson.loads(response.body), api.ListKind.FULL if poll.full else None)
+        event = self.directory.apply(orjson.loads(response.body), api.ListKind.FULL if poll.is_full else None)
         unchanged = (
             event.kind is api.ListKind.CHANGES and not event.endpoints and event.generation == generation)
         self.freshness.record_answer(
@@ -299,91 +323,95 @@
         return replace(event, expires_at_ms=self.freshness.expires_ms)
 
     def _watch_ended(self, poll: Poll) -> None:
-        """Discovery ended the watch, which stood until now: what changed before was told first."""
+        """Handle a 503 that ends an active watch.
+
+        Discovery would have answered with any earlier change, so the list has been current until now.
+        """
         self._count("watches ended")
-        log(f"discovery: {self._poll_figures(poll)}: the watch ended")
-        self.expiry.confirm()
-        self._poll_failed(reached=False)
+        log(f"discovery: {self._describe_poll(poll)}: discovery ended the watch")
+        self.expiry.confirm_current()
+        self._poll_failed(may_lack_changes=False)
 
     def _poll_for_full_list(self) -> None:
-        """Ask for the full list at once: the changes in the response do not follow on the list held."""
+        """Poll for the full list at once, because the changes received do not apply to the current list."""
         self.poll, self.full_list_requested = None, True
         self._cancel_poll_timer()
         self._close_connection()
-        self._poll()
+        self._start_next_poll()
 
     def _poll_succeeded(self, poll: Poll, event: api.EndpointsListed, *, keep_alive: bool) -> None:
-        quick = self.clock.now() - poll.sent_ms < 1000.0 * EMPTY_POLL_PAUSE_S
-        first = not self.initialized
+        answered_at_once = self.clock.now() - poll.sent_ms < 1000.0 * EMPTY_ANSWER_PAUSE_S
+        is_first = not self.initialized
         self._count("polls answered")
-        self._log_answer(poll, event, first=first)
+        self._log_answer(poll, event, is_first=is_first)
         self.poll, self.address_changed = None, False
-        if poll.full:
+        if poll.is_full:
             self.full_list_requested = False
         self.initialized = True
-        self.last_answer_ms = self.clock.now() if poll.answer_began_ms is None else poll.answer_began_ms
-        self.failures = 0
+        self.last_answer_started_ms = (
+            self.clock.now() if poll.answer_started_ms is None else poll.answer_started_ms)
+        self.consecutive_failures = 0
         if not keep_alive:
             self._close_connection()
         self.may_have_missed_changes = False
-        self.expiry.list_arrived()
+        self.expiry.on_list_received()
         self.notify(event)
         if self.poll is not None:
-            return  # the module asked for it on this list: the timer is its timeout
-        if quick and not first and not event.endpoints:
-            # Guards against a busy loop on an agent that answers at once.
-            self._set_poll_timer(EMPTY_POLL_PAUSE_S, self._poll)
+            return  # The balancer requested a poll on this list. The timer is already that poll's timeout.
+        if answered_at_once and not is_first and not event.endpoints:
+            # Prevents a busy loop with an agent that does not wait for changes.
+            self._set_poll_timer(EMPTY_ANSWER_PAUSE_S, self._start_next_poll)
         else:
             self._cancel_poll_timer()
-            self._poll()
+            self._start_next_poll()
 
-    def _log_answer(self, poll: Poll, event: api.EndpointsListed, *, first: bool) -> None:
-        """A line on the first answer, on one that ends an overdue list, on a large and on a late one."""
-        late = not poll.long and self.clock.now() - poll.sent_ms >= LOGGED_WAIT_MS
-        if not (first or self.expiry.overdue or late or len(event.endpoints) >= LOGGED_ENTRIES):
+    def _log_answer(self, poll: Poll, event: api.EndpointsListed, *, is_first: bool) -> None:
+        """Log the first answer, one that replaces an expired list, a large one and a late one."""
+        is_late = not poll.is_long and self.clock.now() - poll.sent_ms >= MIN_LOGGED_WAIT_MS
+        if not (is_first or self.expiry.expired or is_late or len(event.endpoints) >= MIN_LOGGED_ENTRIES):
             return
-        log(f"discovery: {'first answer' if first else 'answer'}, {len(self.directory.endpoint_ids)} "
-            f"endpoints: {self._poll_figures(poll)}, {event.summary()}")
+        log(f"discovery: {'first answer' if is_first else 'answer'}, {len(self.directory.endpoint_ids)} "
+            f"endpoints listed: {self._describe_poll(poll)}, {event.summary()}")
 
     def connection_lost(self) -> None:
-        """Forget the connection; the poll in flight on it has failed."""
+        """Forget the connection, and handle the poll in flight on it as failed."""
         self.connection = None
         if self.poll is not None:
             self._count("polls lost")
-            log(f"discovery: {self._poll_figures(self.poll)}: connection lost")
+            log(f"discovery: {self._describe_poll(self.poll)}: connection lost")
             self._poll_failed()
 
     def _poll_timed_out(self) -> None:
-        """Poll again at once. The poll reached discovery, so the first poll is done, on the list held last.
+        """Poll again at once, and let the proxy become ready even if it has no current list.
 
-        Guards against a list that stays stale: the new poll does not wait for changes, and comes without the
-        backoff, the module's too, that follows on a failed poll.
+        The new poll does not wait for changes, and skips the backoff that the client or the balancer adds
+        after a failed poll. Otherwise the list could expire before a new answer arrives.
         """
         self._count("polls timed out")
         if self.poll is not None:
-            log(f"discovery: {self._poll_figures(self.poll)}: no whole answer in time")
+            log(f"discovery: {self._describe_poll(self.poll)}: timed out without a complete answer")
         self.initialized = self.may_have_missed_changes = True
-        self.poll, self.last_answer_ms = None, float("-inf")
+        self.poll, self.last_answer_started_ms = None, float("-inf")
         self._close_connection()
-        self._poll()
+        self._start_next_poll()
 
-    def _poll_failed(self, *, reached: bool = True) -> None:
-        """Retry after a backoff with jitter; where the module asks for watches, notify it instead."""
-        self.may_have_missed_changes = self.may_have_missed_changes or reached
-        self.poll, self.last_answer_ms = None, float("-inf")
+    def _poll_failed(self, *, may_lack_changes: bool = True) -> None:
+        """Retry after a backoff with jitter; with polled discovery, notify the balancer instead."""
+        self.may_have_missed_changes = self.may_have_missed_changes or may_lack_changes
+        self.poll, self.last_answer_started_ms = None, float("-inf")
         self._cancel_poll_timer()
         self._close_connection()
         if self.polled:
             self.watch_requested = self.full_list_requested = False
             self.notify(api.EndpointsListed(api.ListKind.FAILED))
             return
-        self._set_poll_timer(self._next_backoff_s(), self._poll)
+        self._set_poll_timer(self._next_backoff_s(), self._start_next_poll)
 
     def _next_backoff_s(self) -> float:
-        """Count a failure and return the random pause that follows on it."""
-        factor = 2 ** min(self.failures, MAX_BACKOFF_DOUBLINGS)
-        shortest, longest = (min(self.max_backoff_s, pause * factor) for pause in INITIAL_BACKOFF_S)
-        self.failures += 1
+        """Count a failure and return the random backoff that follows it."""
+        factor = 2 ** min(self.consecutive_failures, MAX_BACKOFF_DOUBLINGS)
+        shortest, longest = (min(self.max_backoff_s, bound * factor) for bound in INITIAL_BACKOFF_RANGE_S)
+        self.consecutive_failures += 1
         return self.random.uniform(shortest, longest)
 
     def _close_connection(self) -> None:
--- a/honeywharf/net/discovery_connection.py
+++ b/honeywharf/net/discovery_connection.py
@@ -1,4 +1,4 @@
-"""One connection to service discovery, for the polls of the watch that holds it."""
+"""A connection to service discovery, on which its client sends polls and receives the answers."""
 
 from __future__ import annotations
 
@@ -11,45 +11,45 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the watch that it belongs to."""
+    """The part of the discovery client that its connection needs."""
 
-    connection: DiscoveryConnection | None  # the one in use
+    connection: DiscoveryConnection | None  # the connection in use
 
     def data_received(self, connection: DiscoveryConnection, data: bytes) -> None:
-        """Take what has come on the connection in use."""
+        """Process the data received on the connection in use."""
 
     def connection_lost(self) -> None:
-        """Take note that the connection in use is lost."""
+        """Handle the loss of the connection in use."""
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection to discovery. What is received on it counts only while the watch holds it.
+    """One connection to discovery; it notifies its owner only while the owner uses it.
 
-    Guards against bytes, or the loss, of an abandoned connection affecting the one that replaced it.
+    Otherwise late data on an abandoned connection, or its loss, would affect the one that replaced it.
     """
 
-    __slots__ = ("reader", "transport", "watch")
+    __slots__ = ("owner", "reader", "transport")
 
-    def __init__(self, watch: ConnectionOwner) -> None:
-        self.watch = watch
+    def __init__(self, owner: ConnectionOwner) -> None:
+        self.owner = owner
         self.reader = http1.ResponseReader(MAX_LIST_BYTES)
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport for writing."""
+        """Store the transport, on which the owner writes its polls."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Pass the data to the watch, if it still holds this connection."""
-        if self.watch.connection is self:
-            self.watch.data_received(self, data)
+        """Pass the data to the owner if it still uses this connection."""
+        if self.owner.connection is self:
+            self.owner.data_received(self, data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the loss to the watch, if it still holds this connection."""
-        if self.watch.connection is self:
-            self.watch.connection_lost()
+        """Report the loss to the owner if it still uses this connection."""
+        if self.owner.connection is self:
+            self.owner.connection_lost()
 
     def close(self) -> None:
-        """Close at once."""
+        """Close the connection at once."""
         if self.transport is not None:
             self.transport.abort()
--- a/honeywharf/net/endpoint_directory.py
+++ b/honeywharf/net/endpoint_directory.py
@@ -1,4 +1,4 @@
-"""The directory of endpoints: parses the lists of service discovery and applies them to the pool."""
+"""The endpoint directory: parses the lists of service discovery and applies them to the pool."""
 
 from __future__ import annotations
 
@@ -9,36 +9,40 @@
 from honeywharf.net.log import log
 from honeywharf.net.upstream import Pool
 
-MAX_STARTED_MS = 1e15
+MAX_START_TIME_MS = 1e15
 MAX_WEIGHT = 1e9
-NO_ADDRESS: Address = ("", 0)  # of a removed endpoint whose entry gives none
+NO_ADDRESS: Address = ("", 0)  # for a removed endpoint whose entry has no address
 LIFECYCLE_STATES = {
     "up": api.EndpointState.READY, "draining": api.EndpointState.DRAINING, "removed": api.EndpointState.GONE,
 }
 
 
 class OlderGenerationError(ValueError):
-    """Changes up to a generation older than the one held: they do not follow on the list held."""
+    """A response has changes up to a generation that is older than the current one.
+
+    Such changes do not apply to the current list: discovery has lost its history, or another service answers.
+    """
 
 
 class Entry(NamedTuple):
-    """One entry of a list: the endpoint, and the address that the pool connects to."""
+    """One entry of a list: an endpoint and its address."""
 
     endpoint: api.Endpoint
     address: Address
 
 
 def parse_entry(raw: Any) -> Entry:
-    """Parse one entry of a list; ValueError where it is invalid."""
+    """Parse one entry of a list; raise ValueError if it is invalid."""
     if not isinstance(raw, dict):
-        raise ValueError("an entry is an object")
+        raise ValueError("the entry is not an object")
     endpoint_id, state = raw.get("instanceId"), LIFECYCLE_STATES.get(str(raw.get("lifecycle")))
     started, weight, cell = raw.get("startedAtMs") or 0, raw.get("weight", 1.0), raw.get("cell") or 0
     if not isinstance(endpoint_id, str) or not endpoint_id or state is None:
-        raise ValueError("an entry has an id and a known state")
-    numeric = isinstance(started, int | float) and isinstance(weight, int | float) and isinstance(cell, int)
-    if not numeric or not (0 <= started < MAX_STARTED_MS and 0 <= weight < MAX_WEIGHT):
-        raise ValueError(f"{endpoint_id}: figures are numbers that make sense")
+        raise ValueError("the entry lacks an instanceId or a known lifecycle")
+    are_numbers = (
+        isinstance(started, int | float) and isinstance(weight, int | float) and isinstance(cell, int))
+    if not are_numbers or not (0 <= started < MAX_START_TIME_MS and 0 <= weight < MAX_WEIGHT):
+        raise ValueError(f"{endpoint_id}: startedAtMs, weight or cell is not a number or out of range")
     removed = state is api.EndpointState.GONE
     host_port = raw.get("hostPort")
     return Entry(
@@ -51,7 +55,7 @@
 
 
 class EndpointDirectory:
-    """The endpoints of the last list and its generation; keeps the pool's endpoints the same as its own."""
+    """The endpoints and the generation of the current list; it keeps the endpoints of the pool in sync."""
 
     def __init__(self, pool: Pool) -> None:
         self.pool = pool
@@ -59,19 +63,21 @@
         self.endpoint_ids: set[str] = set()
 
     def apply(self, raw: Any, kind: api.ListKind | None = None) -> api.EndpointsListed:
-        """Apply a list to the pool and return it as an event; ValueError where it is no list.
+        """Apply a list to the pool and return it as an event.
 
-        OlderGenerationError where it is changes that end before the generation held; nothing is applied.
-        A list of a given kind is a full one. Without a kind, the list says whether it is full.
+        With a `kind`, the list is a full one of that kind. Without it, the list itself states whether it is
+        full. Raise ValueError if `raw` is not a valid list, and OlderGenerationError if it holds changes up
+        to a generation older than the current one; then nothing is applied.
         """
         if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
-            raise ValueError("a list has instances")
+            raise ValueError("the list has no instances")
         generation = raw.get("generation")
         if isinstance(generation, bool) or not isinstance(generation, int):
-            raise ValueError("a list has a generation")
+            raise ValueError("the list has no valid generation")
         full = bool(raw.get("reset")) or kind is not None
         if not full and generation < self.generation:
-            raise OlderGenerationError(f"changes to generation {generation}, held is {self.generation}")
+            raise OlderGenerationError(
+                f"received changes to generation {generation}, but the current one is {self.generation}")
         entries = self._parse_entries(raw["instances"])
         if full:
             self._remove_unlisted(entries)
@@ -86,8 +92,8 @@
         for raw in raw_entries:
             try:
                 entries.append(parse_entry(raw))
-            except ValueError as fault:  # one bad entry must not hide the others
-                log(f"discovery: entry left out: {fault}")
+            except ValueError as error:  # One invalid entry must not invalidate the others.
+                log(f"discovery: skipped an invalid entry: {error}")
         return entries
 
     def _remove_unlisted(self, entries: list[Entry]) -> None:
--- a/honeywharf/net/list_expiry.py
+++ b/honeywharf/net/list_expiry.py
@@ -1,4 +1,4 @@
-"""The time until which the endpoint list held may be used: watched by a timer, and told to the module."""
+"""The expiry of the current endpoint list: its timer, and the notifications to the balancer."""
 
 from __future__ import annotations
 
@@ -11,58 +11,59 @@
 
 
 class ListExpiry:
-    """Tells the module until when it may use the list, and calls `on_reached` at that time.
+    """Notifies the balancer when the list's expiry time changes, and calls `on_expiry_due` at that time.
 
-    An overdue list is not used until the next one comes, whatever becomes known without one.
+    An expired list stays expired until the next list arrives. Without a new list, no evidence that it is
+    current makes it usable again.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, freshness: ListFreshness,
-        notify: Callable[[api.ListExpiryChanged], None], on_reached: Callable[[], None],
+        notify: Callable[[api.ListExpiryChanged], None], on_expiry_due: Callable[[], None],
     ) -> None:
         self.loop, self.clock, self.freshness = loop, clock, freshness
-        self.notify, self.on_reached = notify, on_reached
-        self.overdue = False
+        self.notify, self.on_expiry_due = notify, on_expiry_due
+        self.expired = False
         self.timer: asyncio.TimerHandle | None = None
 
-    def list_arrived(self) -> None:
-        """A list has come and been confirmed; the event that carries it tells the module its time."""
-        self.overdue = False
+    def on_list_received(self) -> None:
+        """Restart the timer for a new list; the event with the list gives the balancer its expiry time."""
+        self.expired = False
         self.start_timer()
 
-    def confirm(self) -> None:
-        """Discovery has had nothing newer than the list held up to now, as far as that is usable at all."""
+    def confirm_current(self) -> None:
+        """Record that discovery has nothing newer than the list, unless the list has expired already."""
         now = self.clock.now()
-        if not self.overdue and self.freshness.is_usable(now):
+        if not self.expired and self.freshness.is_usable(now):
             self.freshness.mark_current(now)
-            self._changed()
+            self._restart_timer_and_notify()
 
-    def confirm_at_end(self) -> None:
-        """The same where its time is just over, and no time has passed for discovery meanwhile."""
+    def confirm_current_at_expiry(self) -> None:
+        """Record that discovery has nothing newer than the list, even though its expiry time has come."""
         self.freshness.mark_current(self.clock.now())
-        self._changed()
+        self._restart_timer_and_notify()
 
-    def move(self) -> None:
-        """Discovery has moved."""
+    def expire_sooner(self) -> None:
+        """Make the list expire sooner, because the address of discovery has changed."""
         self.freshness.on_address_change(self.clock.now())
-        self._changed()
+        self._restart_timer_and_notify()
 
     def expire(self) -> None:
-        """Have nothing sent until the next list."""
+        """Expire the list, so that the balancer sends nothing until the next list arrives."""
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        self.overdue = True
+        self.expired = True
         self.notify(api.ListExpiryChanged(float("-inf")))
 
     def start_timer(self) -> None:
-        """Come back when the list's time is over."""
+        """Start or restart the timer that fires when the list's expiry time comes."""
         if self.timer is not None:
             self.timer.cancel()
         left_ms = self.freshness.expires_ms - self.clock.now()
-        self.timer = self.loop.call_later(max(0.0, left_ms) / 1000.0, self.on_reached)
+        self.timer = self.loop.call_later(max(0.0, left_ms) / 1000.0, self.on_expiry_due)
 
-    def _changed(self) -> None:
-        if not self.overdue:
+    def _restart_timer_and_notify(self) -> None:
+        if not self.expired:
             self.start_timer()
             self.notify(api.ListExpiryChanged(self.freshness.expires_ms))
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch over real sockets, and what lists do to the pool."""
+"""The discovery client over real sockets, and the effect of endpoint lists on the connection pool."""
 
 from __future__ import annotations
 
@@ -28,29 +28,29 @@
 )
 
 
-def test_an_entry_in_the_modules_terms() -> None:
-    entry, where = parse_entry(
+def test_entries_are_parsed_to_endpoints_with_addresses() -> None:
+    endpoint, address = parse_entry(
         discovery_entry("s", 3000, "y", "draining", startedAtMs=17, weight=1.5, cell=3)
     )
-    assert entry == api.Endpoint("s", "y", api.EndpointState.DRAINING, 3, 17.0, 1.5, "k")
-    assert where == ("127.0.0.1", 3000)
+    assert endpoint == api.Endpoint("s", "y", api.EndpointState.DRAINING, 3, 17.0, 1.5, "k")
+    assert address == ("127.0.0.1", 3000)
     assert parse_entry(discovery_entry("s", 1))[0].started_ms is None
-    gone = {"instanceId": "s", "lifecycle": "removed"}
-    assert parse_entry(gone)[0].state is api.EndpointState.GONE
+    removed = {"instanceId": "s", "lifecycle": "removed"}
+    assert parse_entry(removed)[0].state is api.EndpointState.GONE
 
 
-@pytest.mark.parametrize("bad", [
+@pytest.mark.parametrize("invalid", [
     {"lifecycle": "asleep"}, {"hostPort": "nowhere"}, {"hostPort": None}, {"hostPort": "h:99999"},
     {"instanceId": 5}, {"instanceId": ""}, {"startedAtMs": "x"}, {"weight": []}, {"cell": "c"},
     {"startedAtMs": -1}, {"startedAtMs": 1e300}, {"weight": -0.5}, {"weight": float("nan")},
     {"weight": float("inf")},
 ])
-def test_a_senseless_entry_is_told_apart(bad: dict[str, Any]) -> None:
+def test_an_invalid_entry_is_rejected(invalid: dict[str, Any]) -> None:
     with pytest.raises(ValueError, match=r"\w"):
-        parse_entry({**discovery_entry("s", 3000), **bad})
+        parse_entry({**discovery_entry("s", 3000), **invalid})
 
 
-def test_the_watch_goes_on_from_the_last_version_and_at_once() -> None:
+def test_the_client_polls_on_from_the_last_generation_on_the_same_connection() -> None:
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
@@ -70,10 +70,13 @@
 
 
 @pytest.mark.parametrize("changes", [0, 1])
-def test_a_poll_that_the_module_asks_for_upon_a_list_times_out_too(
+def test_a_poll_that_the_balancer_requests_on_receiving_a_list_can_time_out(
     changes: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Guards against a poll that falls silent, with none after it, as the list before it took its timer."""
+    """The timer of that poll must stay when the client has finished processing the list.
+
+    Otherwise, if the poll is never answered, no other poll follows it.
+    """
     monkeypatch.setattr(discovery_module, "FULL_LIST_TIMEOUT_MS", 50.0)
 
     async def main() -> None:
@@ -83,20 +86,20 @@
             watch, notify = harness.proxy.watch, harness.proxy.watch.notify
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
 
-            def ask(event: api.EndpointsListed | api.ListExpiryChanged) -> None:
+            def notify_and_fetch(event: api.EndpointsListed | api.ListExpiryChanged) -> None:
                 notify(event)
                 watch.notify = notify
                 watch.fetch()
 
-            watch.notify = ask
+            watch.notify = notify_and_fetch
             harness.discovery.publish(2, *[discovery_entry("c", 2)] * changes)
-            # The full list, which is never answered, and the poll after it has timed out.
+            # The poll for the full list is never answered and times out, and another poll follows.
             await wait_until(lambda: len(harness.discovery.request_lines) >= 4)
             assert harness.discovery.request_lines[2].startswith(b"GET /registry/instances HTTP")
     run_with_timeout(main())
 
 
-def test_a_drained_backend_gets_nothing_new_and_a_full_list_replaces() -> None:
+def test_a_draining_backend_gets_no_new_requests_and_a_full_list_replaces_the_current_one() -> None:
     async def main() -> None:
         one, two = await Backend().start(), await Backend().start()
         async with synced_proxy([one.discovery_entry("one"), two.discovery_entry("two")]) as harness:
@@ -121,7 +124,9 @@
 
 
 @pytest.mark.parametrize("change", [{"lifecycle": "removed"}, {"lifecycle": "draining"}, {"startedAtMs": 99}])
-def test_idle_connections_to_what_has_left_or_started_anew_are_closed(change: dict[str, Any]) -> None:
+def test_idle_connections_to_a_removed_draining_or_restarted_backend_are_closed(
+    change: dict[str, Any],
+) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -136,7 +141,7 @@
     run_with_timeout(main())
 
 
-def test_a_connection_busy_while_its_backend_moves_is_not_kept_for_the_new_address() -> None:
+def test_a_connection_in_use_is_not_reused_after_its_backend_has_changed_address() -> None:
     async def main() -> None:
         old, new = await Backend().start(), await Backend().start()
         old.default_response = None
@@ -159,7 +164,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "malformed",
     [
         b"garbage\r\n\r\n",
         make_response(503),
@@ -170,25 +175,26 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{",
     ],
 )
-def test_the_watch_comes_back_after_a_bad_answer(bad: bytes) -> None:
+def test_the_client_polls_again_after_a_malformed_answer(malformed: bytes) -> None:
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
-            harness.discovery.responses.put_nowait(bad)
-            if bad.endswith(b"{") and b"Length: 5" in bad:
+            harness.discovery.responses.put_nowait(malformed)
+            if malformed.endswith(b"{") and b"Length: 5" in malformed:
                 await wait_until(lambda: harness.discovery.responses.empty())
                 for writer in list(harness.discovery.connections):
                     await writer.drain()
                     writer.close()
             await wait_until(lambda: len(harness.discovery.request_lines) >= 3)
-            harness.discovery.publish(4, {"odd": 1}, discovery_entry("c", 2))  # the sound entry counts
+            # An invalid entry is skipped, and the valid one is applied.
+            harness.discovery.publish(4, {"odd": 1}, discovery_entry("c", 2))
             event = await wait_for_list(harness, 2)
             assert [e.id for e in event.endpoints] == ["c"]
             assert harness.proxy.pool.has_endpoint("b")
     run_with_timeout(main())
 
 
-def test_ready_only_once_a_list_is_held() -> None:
+def test_the_proxy_is_ready_only_once_discovery_has_answered() -> None:
     async def main() -> None:
         async with started_proxy([]) as harness:
             await with_timeout(harness.discovery.request_received.wait())
@@ -202,42 +208,42 @@
     run_with_timeout(main())
 
 
-def test_a_call_that_stands_in_line_is_not_given_up_soon() -> None:
-    """Discovery takes calls in turn: whoever calls anew after a second goes back to the end of the line."""
+def test_a_poll_in_the_queue_of_discovery_does_not_time_out_early() -> None:
+    """Discovery serves polls in order, so a proxy that polls again goes back to the end of the queue."""
     async def main() -> None:
-        other = await Discovery().start()
+        new_discovery = await Discovery().start()
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
-            harness.proxy.watch.change_address(("127.0.0.1", other.port))
-            await with_timeout(other.request_received.wait())
+            harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+            await with_timeout(new_discovery.request_received.wait())
             timer = harness.proxy.watch.poll_timer
             assert timer is not None
             assert 3.0 < timer.when() - asyncio.get_running_loop().time() < 6.0
-        await other.stop()
+        await new_discovery.stop()
     run_with_timeout(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-@pytest.mark.parametrize("discovery_is", ["down", "silent", "refusing"])
-def test_without_a_list_a_proxy_is_not_ready_at_once_but_well_within_10_s(
-    mode: str, discovery_is: str, monkeypatch: pytest.MonkeyPatch,
+@pytest.mark.parametrize("discovery_state", ["down", "silent", "rejecting"])
+def test_a_proxy_without_a_list_becomes_ready_late_but_within_10_s(
+    mode: str, discovery_state: str, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """What comes then is refused at once: nothing can be sent without a list."""
+    """Once ready, it rejects requests at once, because it cannot send them without a list."""
     assert main_module.READY_S < 8
     monkeypatch.setattr(main_module, "READY_S", 1e6)
 
     async def main() -> None:
         discovery = await Discovery().start()
         port = discovery.port
-        if discovery_is == "down":
+        if discovery_state == "down":
             await discovery.stop()
-        if discovery_is == "refusing":  # its line is full
+        if discovery_state == "rejecting":  # Its queue is full.
             for _ in range(1000):
                 discovery.responses.put_nowait(make_response(503))
         harness = ProxyHarness(make_config(port, [], discovery=mode), discovery)
         await harness.start()
         harness.proxy.watch.watch()
-        if discovery_is == "down":
-            await wait_until(lambda: mode == "ask" or harness.proxy.watch.failures >= 2)
+        if discovery_state == "down":
+            await wait_until(lambda: mode == "ask" or harness.proxy.watch.consecutive_failures >= 2)
         else:
             await with_timeout(discovery.request_received.wait())
         client = await Client.connect(harness.port)
@@ -245,8 +251,8 @@
         harness.proxy._be_ready()
         assert await client.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         client.send()
-        first, headers, _ = await client.read_response()
-        assert first.split()[1] == b"503"
+        status_line, headers, _ = await client.read_response()
+        assert status_line.split()[1] == b"503"
         assert b"retry-after" in headers
         assert harness.task is not None
         harness.task.cancel()
@@ -254,7 +260,7 @@
     run_with_timeout(main())
 
 
-def test_where_the_module_asks_for_watches_it_is_told_of_failures() -> None:
+def test_with_polled_discovery_the_balancer_is_notified_of_failed_polls() -> None:
     async def main() -> None:
         async with started_proxy([discovery_entry("b", 1)], discovery="ask") as harness:
             assert harness.discovery.request_lines == []
@@ -262,9 +268,9 @@
             await with_timeout(harness.discovery.request_received.wait())
             harness.discovery.responses.put_nowait(make_response(503))
             await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
-            calls = len(harness.discovery.request_lines)
+            poll_count = len(harness.discovery.request_lines)
             harness.proxy.driver._execute(api.FetchEndpoints())
-            await wait_until(lambda: len(harness.discovery.request_lines) > calls)
+            await wait_until(lambda: len(harness.discovery.request_lines) > poll_count)
             assert harness.discovery.request_lines[-1].startswith(b"GET /registry/instances ")
             harness.discovery.publish(9, discovery_entry("c", 2))
             await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FULL)
@@ -273,7 +279,7 @@
     run_with_timeout(main())
 
 
-def test_the_answer_to_a_poll_in_flight_is_not_taken_for_the_full_list_asked_for_meanwhile() -> None:
+def test_the_answer_to_a_poll_in_flight_is_not_taken_as_the_full_list_requested_meanwhile() -> None:
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
@@ -288,8 +294,8 @@
     run_with_timeout(main())
 
 
-def test_a_refused_call_is_over_and_never_taken_for_a_silent_one() -> None:
-    """Else the module's pause is left out from then on, and all proxies call each second."""
+def test_a_rejected_poll_does_not_count_as_timed_out() -> None:
+    """Otherwise the proxy would skip the balancer's pause, and all proxies would poll each second."""
     async def main() -> None:
         async with started_proxy([discovery_entry("b", 1)], discovery="ask") as harness:
             for number in (1, 2):
@@ -298,14 +304,14 @@
                 await wait_until(
                     lambda: sum(e.kind is api.ListKind.FAILED for e in received_lists(harness)) == number  # noqa: B023
                 )
-                assert harness.proxy.watch.poll_timer is None  # nothing is due before the module's next word
+                assert harness.proxy.watch.poll_timer is None  # The next poll is up to the balancer.
             assert not harness.proxy.watch.initialized
     run_with_timeout(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_a_call_after_a_failure_does_not_wait(mode: str) -> None:
-    """It stands in line before a wait would begin: judged by its wait, it would be given up in line."""
+def test_a_poll_after_a_failure_does_not_wait_for_changes(mode: str) -> None:
+    """Such a poll queues at discovery first. With a timeout for its wait, it would time out in the queue."""
     async def main() -> None:
         async with started_proxy([discovery_entry("b", 1)], discovery=mode) as harness:
             harness.proxy.watch.watch()
@@ -315,37 +321,41 @@
             harness.discovery.responses.put_nowait(make_response(503))
             if mode == "ask":
                 await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
-                harness.proxy.watch.watch()  # the module's next word
+                harness.proxy.watch.watch()  # as the balancer requests
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             assert b"&wait_ms=0 " in harness.discovery.request_lines[2]
     run_with_timeout(main())
 
 
-def test_a_pushed_list_is_asked_for_again_within_the_grace_for_drains() -> None:
-    """An agent that cannot be reached for long returns with a drain: that counts as told in that moment."""
+def test_where_lists_are_pushed_polls_are_retried_within_the_drain_grace_period() -> None:
+    """An agent that was unreachable for long returns with a list in which a backend drains.
+
+    The proxy is deemed notified of the drain as soon as the agent returns.
+    """
     async def main() -> None:
-        leaves, stays = await Backend().start(), await Backend().start()
+        draining, remaining = await Backend().start(), await Backend().start()
         discovery = await Discovery().start()
         port = discovery.port
         await discovery.stop()
-        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
-        harness = ProxyHarness(make_config(port, rows, contract={"stopSendingWithinMs": 120.0}), discovery)
+        entries = [draining.discovery_entry("draining"), remaining.discovery_entry("remaining")]
+        harness = ProxyHarness(make_config(port, entries, contract={"stopSendingWithinMs": 120.0}), discovery)
         await harness.start()
-        await wait_until(lambda: harness.proxy.watch.failures >= 8)  # its pause has grown as far as it will
+        # The backoff has reached its maximum.
+        await wait_until(lambda: harness.proxy.watch.consecutive_failures >= 8)
         await wait_until(lambda: harness.proxy.watch.connect_task is None)
         timer, now = harness.proxy.watch.poll_timer, asyncio.get_running_loop().time()
         assert timer is not None
         assert timer.when() - now <= 0.07
         await discovery.start(port)
-        discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
+        discovery.publish(2, draining.discovery_entry("draining", lifecycle="draining"))
         await wait_for_list(harness, 2)
         client = await Client.connect(harness.port)
         client.send()
         assert await client.read_status() == 200
-        assert leaves.requests == []
+        assert draining.requests == []
         assert harness.task is not None
         harness.task.cancel()
-        for backend in (leaves, stays):
+        for backend in (draining, remaining):
             await backend.stop()
         await discovery.stop()
     run_with_timeout(main())
--- a/tests/test_discovery_address_change.py
+++ b/tests/test_discovery_address_change.py
@@ -1,4 +1,4 @@
-"""Discovery at another address or with a history of its own, over real sockets."""
+"""Discovery at a new address, or with a different history of generations, over real sockets."""
 
 from __future__ import annotations
 
@@ -22,62 +22,63 @@
 )
 
 
-async def moved(harness: ProxyHarness, discovery: Discovery, held: int = 1) -> None:
-    """Wait until the watch stands at that discovery: the changes since the list held first, then a watch."""
+async def wait_for_watch(harness: ProxyHarness, discovery: Discovery, generation: int = 1) -> None:
+    """Wait until the proxy has polled for the changes since its generation, and then for further changes."""
     await wait_until(lambda: len(discovery.request_lines) >= 2)
-    assert discovery.request_lines[0] == b"GET /registry/instances?after=%d&wait_ms=0 HTTP/1.1" % held
+    assert discovery.request_lines[0] == b"GET /registry/instances?after=%d&wait_ms=0 HTTP/1.1" % generation
     assert b"?after=" in discovery.request_lines[1]
     assert b"&wait_ms=4000 " in discovery.request_lines[1]
 
 
-def test_a_moved_watch_goes_on_from_the_list_held_and_keeps_its_state() -> None:
-    """Guards against full lists for all proxies at once, which take longer than the list held may be used."""
+def test_at_a_new_address_the_proxy_polls_on_from_its_generation_and_keeps_its_state() -> None:
+    """If all proxies requested full lists at once, their current lists would expire before they got them."""
     async def main() -> None:
-        backend, other = await Backend().start(), await Discovery().start()
+        backend, new_discovery = await Backend().start(), await Discovery().start()
         backend.default_response = None
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             client = await Client.connect(harness.port)
             client.send()
             await with_timeout(backend.request_received.wait())
-            record = harness.proxy.driver.balancer.host_set.servers["b"]
-            harness.proxy.watch.change_address(("127.0.0.1", other.port))
-            assert harness.proxy.watch.initialized  # it stays in service
-            await wait_until(lambda: len(other.request_lines) == 1)
-            harness.discovery.publish(50, discovery_entry("late", 9))  # the old connection speaks up late
-            other.publish(3, discovery_entry("c", 2), reset=False)
-            await moved(harness, other)
-            assert b"after=3&" in other.request_lines[1]
+            server = harness.proxy.driver.balancer.host_set.servers["b"]
+            harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+            assert harness.proxy.watch.initialized  # The proxy stays ready.
+            await wait_until(lambda: len(new_discovery.request_lines) == 1)
+            # A late answer on the old connection is ignored, and so is the loss of that connection below.
+            harness.discovery.publish(50, discovery_entry("late", 9))
+            new_discovery.publish(3, discovery_entry("c", 2), reset=False)
+            await wait_for_watch(harness, new_discovery)
+            assert b"after=3&" in new_discovery.request_lines[1]
             assert [e.kind for e in received_lists(harness)] == [api.ListKind.CACHED, api.ListKind.CHANGES]
             assert harness.proxy.pool.has_endpoint("c")
-            assert harness.proxy.driver.balancer.host_set.servers["b"] is record
+            assert harness.proxy.driver.balancer.host_set.servers["b"] is server
             assert not harness.proxy.pool.has_endpoint("late")
             for writer in list(backend.writers):
                 writer.write(make_response())
             assert await client.read_status() == 200
             assert backend.connection_count == 1
-            for writer in list(harness.discovery.connections):  # and its late loss touches nothing
+            for writer in list(harness.discovery.connections):
                 writer.transport.abort()
-            other.publish(4, discovery_entry("d", 3))
+            new_discovery.publish(4, discovery_entry("d", 3))
             await wait_until(lambda: harness.proxy.pool.has_endpoint("d"))
-            assert len(other.connections) == 1
-        await other.stop()
+            assert len(new_discovery.connections) == 1
+        await new_discovery.stop()
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_a_watch_moved_again_and_again_ends_at_the_last_address() -> None:
+def test_after_several_quick_address_changes_the_proxy_polls_the_last_address() -> None:
     async def main() -> None:
         first, last = await Discovery().start(), await Discovery().start()
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
-            for _ in range(5):  # each while the connection before is still coming up
+            for _ in range(5):  # Each change comes before the previous connection is established.
                 harness.proxy.watch.change_address(("127.0.0.1", first.port))
                 await asyncio.sleep(0)
                 harness.proxy.watch.change_address(("127.0.0.1", last.port))
                 await asyncio.sleep(0)
             await wait_until(lambda: len(last.request_lines) >= 1)
             last.publish(2, discovery_entry("e", 5), discovery_entry("b", 1, lifecycle="removed"))
-            await moved(harness, last)
+            await wait_for_watch(harness, last)
             assert len(last.connections) == 1
             assert harness.proxy.pool.has_endpoint("e")
             assert not harness.proxy.pool.has_endpoint("b")
@@ -87,69 +88,75 @@
     run_with_timeout(main())
 
 
-def test_an_address_that_is_not_up_yet_is_tried_until_it_answers() -> None:
+def test_the_proxy_retries_a_new_address_until_discovery_answers_there() -> None:
     async def main() -> None:
-        other = await Discovery().start()
-        port = other.port
-        await other.stop()
+        new_discovery = await Discovery().start()
+        port = new_discovery.port
+        await new_discovery.stop()
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             harness.proxy.watch.change_address(("127.0.0.1", port))
-            await wait_until(lambda: harness.proxy.watch.failures >= 2)
+            await wait_until(lambda: harness.proxy.watch.consecutive_failures >= 2)
             assert harness.proxy.watch.initialized
             assert harness.proxy.pool.has_endpoint("b")
-            await other.start(port)
-            other.responses.put_nowait(make_response(503))
-            other.publish(2, discovery_entry("f", 6))
+            await new_discovery.start(port)
+            new_discovery.responses.put_nowait(make_response(503))
+            new_discovery.publish(2, discovery_entry("f", 6))
             await wait_until(lambda: harness.proxy.pool.has_endpoint("f"))
-            assert other.request_lines[:2] == [b"GET /registry/instances?after=1&wait_ms=0 HTTP/1.1"] * 2
-        await other.stop()
+            assert new_discovery.request_lines[:2] == [
+                b"GET /registry/instances?after=1&wait_ms=0 HTTP/1.1"] * 2
+        await new_discovery.stop()
     run_with_timeout(main())
 
 
-def test_a_watch_moves_while_the_proxy_drains() -> None:
+def test_the_address_can_change_while_the_proxy_drains() -> None:
     async def main() -> None:
-        backend, other = await Backend().start(), await Discovery().start()
+        backend, new_discovery = await Backend().start(), await Discovery().start()
         backend.default_response = None
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             client.send()
             await with_timeout(backend.request_received.wait())
             harness.proxy.drain()
-            harness.proxy.watch.change_address(("127.0.0.1", other.port))
-            other.publish(1, backend.discovery_entry("b"))
-            await moved(harness, other)
+            harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+            new_discovery.publish(1, backend.discovery_entry("b"))
+            await wait_for_watch(harness, new_discovery)
             for writer in list(backend.writers):
                 writer.write(make_response())
             assert await client.read_status() == 200
-        await other.stop()
+        await new_discovery.stop()
         await backend.stop()
     run_with_timeout(main())
 
 
-@pytest.mark.parametrize("moves", [True, False])
+@pytest.mark.parametrize("address_changes", [True, False])
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_changes_to_an_older_generation_are_left_and_the_full_list_is_taken(mode: str, moves: bool) -> None:
-    """Guards against entries that the service has lost, as it started anew or another one answers."""
+def test_on_changes_to_an_older_generation_the_proxy_requests_the_full_list(
+    mode: str, address_changes: bool,
+) -> None:
+    """Discovery has lost its history in a restart, or another service answers at its address.
+
+    Otherwise the proxy would keep entries that discovery does not list any more.
+    """
     async def main() -> None:
-        other = await Discovery().start()
+        new_discovery = await Discovery().start()
         async with synced_proxy(
             [discovery_entry("b", 1)], discovery=mode, contract={"askEveryMs": 1000.0}
         ) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
-            if moves:
-                harness.proxy.watch.change_address(("127.0.0.1", other.port))
-            asked = other if moves else harness.discovery
-            calls = 0 if moves else 1
-            await wait_until(lambda: len(asked.request_lines) == calls + 1)
-            asked.publish(0, discovery_entry("lost", 9))
-            await wait_until(lambda: len(asked.request_lines) == calls + 2)
-            assert asked.request_lines[-1] == b"GET /registry/instances HTTP/1.1"
+            if address_changes:
+                harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+            current_discovery = new_discovery if address_changes else harness.discovery
+            earlier_polls = 0 if address_changes else 1
+            await wait_until(lambda: len(current_discovery.request_lines) == earlier_polls + 1)
+            current_discovery.publish(0, discovery_entry("lost", 9))
+            await wait_until(lambda: len(current_discovery.request_lines) == earlier_polls + 2)
+            assert current_discovery.request_lines[-1] == b"GET /registry/instances HTTP/1.1"
             assert harness.proxy.pool.has_endpoint("b")
             assert not harness.proxy.pool.has_endpoint("lost")
-            asked.publish(0, discovery_entry("c", 2))
+            current_discovery.publish(0, discovery_entry("c", 2))
             await wait_until(lambda: harness.proxy.pool.has_endpoint("c"))
             assert not harness.proxy.pool.has_endpoint("b")
-            await wait_until(lambda: len(asked.request_lines) == calls + 3)
-            assert b"?after=0&" in asked.request_lines[-1]
-        await other.stop()
+            await wait_until(lambda: len(current_discovery.request_lines) == earlier_polls + 3)
+            assert b"?after=0&" in current_discovery.request_lines[-1]
+        await new_discovery.stop()
     run_with_timeout(main())
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -1,4 +1,8 @@
-"""Until when the list held is used, over real sockets: unknown, missed and silent changes."""
+"""When the current endpoint list expires, over real sockets.
+
+A list expires when its age is unknown, or when the proxy is deemed notified of changes that the list may
+lack.
+"""
 
 from __future__ import annotations
 
@@ -26,32 +30,33 @@
 )
 
 
-def due_s(harness: ProxyHarness) -> float:
-    """In how many seconds what the list held may lack counts as told."""
-    due = harness.proxy.watch.expiry.timer
-    assert due is not None
-    return round(due.when() - asyncio.get_running_loop().time(), 3)  # the loop's times are whole ms
+def seconds_until_expiry(harness: ProxyHarness) -> float:
+    """Return the time until the current list expires, rounded because the loop's timers have whole ms."""
+    expiry_timer = harness.proxy.watch.expiry.timer
+    assert expiry_timer is not None
+    return round(expiry_timer.when() - asyncio.get_running_loop().time(), 3)
 
 
-def expires_in(harness: ProxyHarness, left_ms: float) -> None:
-    """Let the list held be usable for so much longer."""
+def set_time_until_expiry(harness: ProxyHarness, left_ms: float) -> None:
+    """Let the current list expire this much later than now."""
     harness.proxy.watch.freshness.expires_ms = harness.proxy.clock.now() + left_ms
     harness.proxy.watch.expiry.start_timer()
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("silent", [False, True])
-def test_nothing_is_sent_on_the_list_of_the_last_life(mode: str, silent: bool) -> None:
-    """A backend drained while the proxy was away, and nobody knows for how long that was.
+def test_nothing_is_sent_on_the_list_of_the_last_run(mode: str, silent: bool) -> None:
+    """A backend started to drain while the proxy was down for an unknown time.
 
-    Where lists are pushed the drain counts as told from the proxy's first moment, where they are asked for
-    6 s after it was made. Callers that did not ask whether it is ready come all the same. A silent discovery
-    keeps it out for seconds; then it is ready but sends nothing, and it goes on asking.
+    Where lists are pushed, the proxy is deemed notified of the drain as soon as it starts; where they are
+    polled, 6 s after the drain started. Clients that do not check its readiness send requests all the same.
+    While discovery is silent, the proxy is not ready until its first poll times out. From then on it is
+    ready, but sends nothing and goes on polling.
     """
     async def main() -> None:
-        leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
-        async with started_proxy(rows, discovery=mode) as harness:
+        draining, remaining = await Backend().start(), await Backend().start()
+        entries = [draining.discovery_entry("draining"), remaining.discovery_entry("remaining")]
+        async with started_proxy(entries, discovery=mode) as harness:
             harness.proxy.watch.watch()
             await with_timeout(harness.discovery.request_received.wait())
             client = await Client.connect(harness.port)
@@ -66,80 +71,89 @@
                 for _ in range(12):
                     client.send()
                     assert await client.read_status() == 503
-                # goes to the call that fell silent: nobody reads it
+                # This response answers the poll that timed out, and the proxy ignores it.
                 harness.discovery.responses.put_nowait(make_response())
-            harness.discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
+            harness.discovery.publish(2, draining.discovery_entry("draining", lifecycle="draining"))
             await wait_for_list(harness, 2)
             assert await client.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
-            assert leaves.requests == stays.requests == []
+            assert draining.requests == remaining.requests == []
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 200
-            assert leaves.requests == []
-        for backend in (leaves, stays):
+            assert draining.requests == []
+        for backend in (draining, remaining):
             await backend.stop()
     run_with_timeout(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-@pytest.mark.parametrize("ends", ["refused", "lost", "given up", "spoilt"])
-def test_a_change_that_no_call_brought_counts_as_told_6_s_later(mode: str, ends: str) -> None:
-    """From then on nothing is sent until a list comes: draining backends may answer calls, too."""
+@pytest.mark.parametrize("failure", ["rejected", "connection lost", "timed out", "malformed"])
+def test_a_list_expires_6_s_after_its_last_answer_however_later_polls_fail(mode: str, failure: str) -> None:
+    """The proxy is deemed notified of a change after 6 s even if no poll has brought it.
+
+    From then on it sends nothing until a list arrives. Responses do not show that a backend may be used,
+    because draining backends respond too.
+    """
     async def main() -> None:
-        leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
+        draining, remaining = await Backend().start(), await Backend().start()
+        entries = [draining.discovery_entry("draining"), remaining.discovery_entry("remaining")]
         contract = {"askEveryMs": 1e6, "stopSendingWithinMs": 2e6}
         report = {"fields": [], "how": "silent"}
-        async with started_proxy(rows, discovery=mode, contract=contract, report=report) as harness:
+        async with started_proxy(entries, discovery=mode, contract=contract, report=report) as harness:
             harness.discovery.publish(1)
             harness.proxy.watch.watch()
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
-            listed = due_s(harness)
-            assert listed <= 6.0
-            harness.proxy.watch._poll_timed_out()  # from here on something may be missing
+            initially_left_s = seconds_until_expiry(harness)
+            assert initially_left_s <= 6.0
+            harness.proxy.watch._poll_timed_out()  # From here on, the list may lack changes.
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
-            harness.discovery.responses.put_nowait(make_response())  # goes to the call that fell silent
-            for _ in range(3):  # and no call brings a list
-                calls = len(harness.discovery.request_lines)
-                if ends == "given up":
+            # This response answers the poll that timed out.
+            harness.discovery.responses.put_nowait(make_response())
+            for _ in range(3):  # None of these polls brings a list.
+                poll_count = len(harness.discovery.request_lines)
+                if failure == "timed out":
                     harness.proxy.watch._poll_timed_out()
                     harness.discovery.responses.put_nowait(make_response())
-                elif ends == "lost":
+                elif failure == "connection lost":
                     for writer in list(harness.discovery.connections):
                         writer.transport.abort()
                     harness.discovery.responses.put_nowait(make_response())
                 else:
-                    harness.discovery.responses.put_nowait(make_response(503 if ends == "refused" else 200))
-                if mode == "ask" and ends != "given up":
+                    harness.discovery.responses.put_nowait(
+                        make_response(503 if failure == "rejected" else 200))
+                if mode == "ask" and failure != "timed out":
                     await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
                     harness.proxy.watch.watch()
-                elif mode == "push" and harness.proxy.watch.poll_timer is not None and ends != "given up":
+                elif mode == "push" and harness.proxy.watch.poll_timer is not None and failure != "timed out":
                     await wait_until(lambda: harness.proxy.watch.poll is None)
-                    harness.proxy.watch._poll()
-                await wait_until(lambda: len(harness.discovery.request_lines) > calls)  # noqa: B023
-                assert due_s(harness) <= listed
+                    harness.proxy.watch._start_next_poll()
+                await wait_until(lambda: len(harness.discovery.request_lines) > poll_count)  # noqa: B023
+                assert seconds_until_expiry(harness) <= initially_left_s
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
-            sent = len(leaves.requests) + len(stays.requests)
-            harness.proxy.watch._expiry_reached()
+            sent_count = len(draining.requests) + len(remaining.requests)
+            harness.proxy.watch._on_expiry_due()
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 503
-            assert len(leaves.requests) + len(stays.requests) == sent
+            assert len(draining.requests) + len(remaining.requests) == sent_count
             harness.discovery.publish(1)
             if mode == "push":
-                harness.proxy.watch._poll()
-            await wait_until(lambda: not harness.proxy.watch.expiry.overdue)
+                harness.proxy.watch._start_next_poll()
+            await wait_until(lambda: not harness.proxy.watch.expiry.expired)
             client.send()
             assert await client.read_status() == 200
-        for backend in (leaves, stays):
+        for backend in (draining, remaining):
             await backend.stop()
     run_with_timeout(main())
 
 
-def test_while_the_agent_of_pushed_lists_is_down_nothing_gets_overdue() -> None:
-    """It takes calls and is silent, and learns nothing; where discovery is asked it cannot be told apart."""
+def test_a_pushed_list_does_not_expire_while_the_agent_is_down() -> None:
+    """An agent that accepts polls but does not respond learns of no changes, so the list stays current.
+
+    With polled discovery, the proxy cannot tell whether discovery is down or has a long queue.
+    """
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -147,23 +161,23 @@
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             watch._poll_timed_out()
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
-            expires_in(harness, 1000.0)
+            set_time_until_expiry(harness, 1000.0)
             assert watch.poll is not None
             watch.poll.sent_ms -= 1000.0
-            watch._expiry_reached()
-            assert not watch.expiry.overdue
-            assert due_s(harness) > 5.0
+            watch._on_expiry_due()
+            assert not watch.expiry.expired
+            assert seconds_until_expiry(harness) > 5.0
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
-            watch.poll.sent_ms += 1000.0  # a call just made shows nothing
-            watch._expiry_reached()
-            assert watch.expiry.overdue
+            watch.poll.sent_ms += 1000.0  # A new poll shows nothing about the agent.
+            watch._on_expiry_due()
+            assert watch.expiry.expired
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_what_waits_for_its_connection_when_the_list_gets_overdue_is_withdrawn() -> None:
+def test_an_attempt_that_waits_for_a_connection_is_aborted_when_the_list_expires() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy(
@@ -174,7 +188,7 @@
             client = await Client.connect(harness.port)
             client.send("pay")
             await wait_until(lambda: harness.proxy.pool.handshakes == 1)
-            harness.proxy.watch._expiry_reached()
+            harness.proxy.watch._on_expiry_due()
             assert await client.read_status() == 503
             gate.connections_allowed.set()
             await wait_until(lambda: not harness.proxy.pool.tasks)
@@ -183,9 +197,9 @@
     run_with_timeout(main())
 
 
-def test_what_cannot_be_reached_tells_nothing_and_what_moves_has_4_s() -> None:
+def test_a_list_stays_current_if_discovery_is_down_and_expires_4_s_after_an_address_change() -> None:
     async def main() -> None:
-        discovery, other = await Discovery().start(), await Discovery().start()
+        discovery, new_discovery = await Discovery().start(), await Discovery().start()
         port = discovery.port
         harness = ProxyHarness(
             make_config(port, [discovery_entry("b", 1)], discovery="ask", contract={"askEveryMs": 1e6}),
@@ -196,68 +210,74 @@
         harness.proxy.watch.watch()
         await wait_until(lambda: len(discovery.request_lines) == 2)
         assert b"&wait_ms=4000 " in discovery.request_lines[1]
-        expires_in(harness, 3000.0)
-        discovery.responses.put_nowait(make_response(503))  # the watch stood until it was ended by a word
+        set_time_until_expiry(harness, 3000.0)
+        discovery.responses.put_nowait(make_response(503))  # Discovery ends an active watch.
         await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
-        assert due_s(harness) > 4.0
+        assert seconds_until_expiry(harness) > 4.0
         await discovery.stop()
-        expires_in(harness, 3000.0)
+        set_time_until_expiry(harness, 3000.0)
         harness.proxy.watch.watch()
         await wait_until(lambda: harness.proxy.watch.connect_task is None)
-        assert due_s(harness) > 4.0  # down: it could not have been told
-        harness.proxy.watch.change_address(("127.0.0.1", other.port))
-        assert due_s(harness) <= 4.0
+        assert seconds_until_expiry(harness) > 4.0  # Discovery is down and learns of no changes.
+        harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+        assert seconds_until_expiry(harness) <= 4.0
         assert harness.task is not None
         harness.task.cancel()
-        await other.stop()
+        await new_discovery.stop()
     run_with_timeout(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-@pytest.mark.parametrize("waits", [True, False], ids=["a watch", "a call in line"])
-def test_a_call_that_fell_silent_is_made_anew_before_what_it_missed_counts_as_told(
-    mode: str, waits: bool,
+@pytest.mark.parametrize("is_long", [True, False], ids=["long poll", "queued short poll"])
+def test_an_unanswered_poll_is_repeated_before_the_proxy_is_deemed_notified_of_what_it_missed(
+    mode: str, is_long: bool,
 ) -> None:
-    """It misses a drain, which counts as told 2 s after the wait, or 6 s after it fell silent.
+    """A poll without an answer misses a drain.
 
-    No pause of the module's fits in there, and half of the time is left for discovery's line.
+    The proxy is deemed notified of the drain 2 s after the end of a long poll's wait, or 6 s after a short
+    poll went unanswered. The balancer's pause after a failed poll does not fit into that time, and half of
+    it has to be left for discovery's queue.
     """
     async def main() -> None:
-        leaves, stays = await Backend().start(), await Backend().start()
-        rows = [leaves.discovery_entry("leaves"), stays.discovery_entry("stays")]
-        pauses = {"askEveryMs": 1e6}  # the module's pause after a failed call is up to a fifth of that
-        async with started_proxy(rows, discovery=mode, contract=pauses) as harness:
+        draining, remaining = await Backend().start(), await Backend().start()
+        entries = [draining.discovery_entry("draining"), remaining.discovery_entry("remaining")]
+        # After a failed poll, the balancer pauses for up to a fifth of this interval.
+        poll_interval = {"askEveryMs": 1e6}
+        async with started_proxy(entries, discovery=mode, contract=poll_interval) as harness:
             harness.proxy.watch.watch()
-            if waits:
+            if is_long:
                 harness.discovery.publish(1)
-            out = 2 if waits else 1
-            await wait_until(lambda: len(harness.discovery.request_lines) == out)
+            poll_count = 2 if is_long else 1
+            await wait_until(lambda: len(harness.discovery.request_lines) == poll_count)
             timer, now = harness.proxy.watch.poll_timer, asyncio.get_running_loop().time()
             assert timer is not None
-            assert timer.when() - now < (6.0 if waits else 4.0)
+            assert timer.when() - now < (6.0 if is_long else 4.0)
             harness.proxy.watch._poll_timed_out()
-            await wait_until(lambda: len(harness.discovery.request_lines) == out + 1)
-            assert harness.discovery.request_lines[out].startswith(
+            await wait_until(lambda: len(harness.discovery.request_lines) == poll_count + 1)
+            assert harness.discovery.request_lines[poll_count].startswith(
                 b"GET /registry/instances?after=1&wait_ms=0 "
             )
             assert api.ListKind.FAILED not in [e.kind for e in received_lists(harness)]
-            # goes to the call that fell silent, and nobody reads it
+            # This response answers the poll that timed out, and the proxy ignores it.
             harness.discovery.responses.put_nowait(make_response())
-            harness.discovery.publish(2, leaves.discovery_entry("leaves", lifecycle="draining"))
-            await wait_until(lambda: len(harness.discovery.request_lines) == out + 2)
-            assert b"?after=2&wait_ms=4000 " in harness.discovery.request_lines[out + 1]
+            harness.discovery.publish(2, draining.discovery_entry("draining", lifecycle="draining"))
+            await wait_until(lambda: len(harness.discovery.request_lines) == poll_count + 2)
+            assert b"?after=2&wait_ms=4000 " in harness.discovery.request_lines[poll_count + 1]
             client = await Client.connect(harness.port)
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 200
-            assert (len(leaves.requests), len(stays.requests)) == (0, 12)
-        for backend in (leaves, stays):
+            assert (len(draining.requests), len(remaining.requests)) == (0, 12)
+        for backend in (draining, remaining):
             await backend.stop()
     run_with_timeout(main())
 
 
-def test_a_call_that_comes_too_late_to_go_on_with_a_watch_does_not_wait() -> None:
-    """It starts a new watch, in line: refused there, it does not show that the watch stood until then."""
+def test_a_poll_sent_too_late_to_continue_a_watch_does_not_wait_for_changes() -> None:
+    """Such a poll queues at discovery to start a new watch.
+
+    If discovery rejects it there, that does not prove that the earlier watch was active until then.
+    """
     async def main() -> None:
         discovery = await Discovery().start()
         harness = ProxyHarness(
@@ -269,20 +289,20 @@
         await harness.start()
         watch = harness.proxy.watch
 
-        def held_up(now_ms: float, event: api.Event) -> list[api.Action]:
+        def handle_late(now_ms: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.EndpointsListed):
-                watch.last_answer_ms -= 200.0  # as if the loop had been busy for so long
+                watch.last_answer_started_ms -= 200.0  # as if the event loop had been busy that long
             return []
 
-        harness.proxy.driver.balancer.handle = held_up  # type: ignore[method-assign]
+        harness.proxy.driver.balancer.handle = handle_late  # type: ignore[method-assign]
         discovery.publish(1)
         watch.watch()
         await wait_until(lambda: len(discovery.request_lines) == 2)
         assert b"&wait_ms=0 " in discovery.request_lines[1]
-        expires_in(harness, 3000.0)
+        set_time_until_expiry(harness, 3000.0)
         discovery.responses.put_nowait(make_response(503))
         await wait_until(lambda: watch.poll is None)
-        assert due_s(harness) <= 3.0
+        assert seconds_until_expiry(harness) <= 3.0
         assert harness.task is not None
         harness.task.cancel()
         await discovery.stop()
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -153,7 +153,7 @@
             }
             answer = make_response(200, json.dumps(changes).encode())
             harness.discovery.responses.put_nowait(answer[:-20])
-            await wait_until(lambda: harness.proxy.watch.expiry.overdue)
+            await wait_until(lambda: harness.proxy.watch.expiry.expired)
             client = await Client.connect(harness.port)
             for _ in range(12):
                 client.send()
@@ -165,9 +165,9 @@
             else:
                 writer.transport.abort()
                 await wait_until(lambda: len(harness.discovery.request_lines) == 3)
-                assert harness.proxy.watch.expiry.overdue
+                assert harness.proxy.watch.expiry.expired
                 harness.discovery.responses.put_nowait(answer)
-            await wait_until(lambda: not harness.proxy.watch.expiry.overdue)
+            await wait_until(lambda: not harness.proxy.watch.expiry.expired)
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 200
@@ -187,11 +187,12 @@
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             harness.discovery.responses.put_nowait(b"")  # answers the poll that timed out
             harness.discovery.responses.put_nowait(b"HTTP/1.1 200 OK\r\n")
-            await wait_until(lambda: watch.poll is not None and watch.poll.answer_began_ms is not None)
+            await wait_until(lambda: (
+                watch.poll is not None and watch.poll.answer_started_ms is not None))
             assert watch.poll is not None
             watch.poll.sent_ms -= 1000.0
-            watch._expiry_reached()
-            assert watch.expiry.overdue
+            watch._on_expiry_due()
+            assert watch.expiry.expired
     run_with_timeout(main())
 
 
