--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -70,12 +70,12 @@
 
 
 @pytest.mark.parametrize("changes", [0, 1])
-def test_a_poll_that_the_balancer_requests_on_receiving_a_list_can_time_out(
+def test_a_poll_that_the_balancer_requests_on_receiving_a_list_times_out_if_unanswered(
     changes: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The timer of that poll must stay when the client has finished processing the list.
+    """Processing the list must not cancel the timer of the poll that was sent meanwhile.
 
-    Otherwise, if the poll is never answered, no other poll follows it.
+    Otherwise, if that poll is never answered, no other poll ever follows it.
     """
     monkeypatch.setattr(discovery_module, "FULL_LIST_TIMEOUT_MS", 50.0)
 
@@ -224,7 +224,7 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("discovery_state", ["down", "silent", "rejecting"])
-def test_a_proxy_without_a_list_becomes_ready_late_but_within_10_s(
+def test_a_proxy_without_a_list_is_not_ready_at_once_but_well_within_10_s(
     mode: str, discovery_state: str, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Once ready, it rejects requests at once, because it cannot send them without a list."""
@@ -311,7 +311,7 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_a_poll_after_a_failure_does_not_wait_for_changes(mode: str) -> None:
-    """Such a poll queues at discovery first. With a timeout for its wait, it would time out in the queue."""
+    """Such a poll queues at discovery first, where a timeout derived from its wait could expire too early."""
     async def main() -> None:
         async with started_proxy([discovery_entry("b", 1)], discovery=mode) as harness:
             harness.proxy.watch.watch()
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -38,7 +38,7 @@
 
 
 def set_time_until_expiry(harness: ProxyHarness, left_ms: float) -> None:
-    """Let the current list expire this much later than now."""
+    """Make the current list expire `left_ms` from now."""
     harness.proxy.watch.freshness.expires_ms = harness.proxy.clock.now() + left_ms
     harness.proxy.watch.expiry.start_timer()
 
@@ -103,8 +103,8 @@
             harness.discovery.publish(1)
             harness.proxy.watch.watch()
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
-            initially_left_s = seconds_until_expiry(harness)
-            assert initially_left_s <= 6.0
+            initial_time_left_s = seconds_until_expiry(harness)
+            assert initial_time_left_s <= 6.0
             harness.proxy.watch._poll_timed_out()  # From here on, the list may lack changes.
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             # This response answers the poll that timed out.
@@ -128,7 +128,7 @@
                     await wait_until(lambda: harness.proxy.watch.poll is None)
                     harness.proxy.watch._start_next_poll()
                 await wait_until(lambda: len(harness.discovery.request_lines) > poll_count)  # noqa: B023
-                assert seconds_until_expiry(harness) <= initially_left_s
+                assert seconds_until_expiry(harness) <= initial_time_left_s
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
