--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -191,7 +191,7 @@
             harness.proxy.watch._on_expiry_due()
             assert await client.read_status() == 503
             gate.connections_allowed.set()
-            await wait_until(lambda: not harness.proxy.pool.tasks)
+            await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert backend.requests == []
         await backend.stop()
     run_with_timeout(main())
