--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -291,12 +291,12 @@
             log(f"discovery: {self._describe_poll(poll)}: {error}")
             self._poll_for_full_list()
             return
-        except (http1.MalformedError, ValueError) as error:
+        except (http1.MalformedMessageError, ValueError) as error:
             self._count("polls failed")
             log(f"discovery: {self._describe_poll(poll)}: {error}")
             self._poll_failed()
             return
-        self._poll_succeeded(poll, event, keep_alive=response.keep)
+        self._poll_succeeded(poll, event, keep_alive=response.keep_alive)
 
     def _start_answer_timer(self, poll: Poll) -> None:
         """Limit the time for the rest of an answer: the proxy is deemed notified of its changes already."""
