--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -164,7 +164,7 @@
 
 
 @pytest.mark.parametrize(
-    "malformed",
+    "invalid",
     [
         b"garbage\r\n\r\n",
         make_response(503),
@@ -175,12 +175,12 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{",
     ],
 )
-def test_the_client_polls_again_after_a_malformed_answer(malformed: bytes) -> None:
+def test_the_client_polls_again_after_an_invalid_answer(invalid: bytes) -> None:
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
-            harness.discovery.responses.put_nowait(malformed)
-            if malformed.endswith(b"{") and b"Length: 5" in malformed:
+            harness.discovery.responses.put_nowait(invalid)
+            if invalid.endswith(b"{") and b"Length: 5" in invalid:
                 await wait_until(lambda: harness.discovery.responses.empty())
                 for writer in list(harness.discovery.connections):
                     await writer.drain()
@@ -198,18 +198,18 @@
     async def main() -> None:
         async with started_proxy([]) as harness:
             await with_timeout(harness.discovery.request_received.wait())
-            ready = b"GET /health/ready HTTP/1.1\r\n\r\n"
+            readiness_check = b"GET /health/ready HTTP/1.1\r\n\r\n"
             client = await Client.connect(harness.port)
-            assert await client.round_trip(ready) == 503
+            assert await client.round_trip(readiness_check) == 503
             assert [e.kind for e in received_lists(harness)] == [api.ListKind.CACHED]
             harness.discovery.publish(1, discovery_entry("b", 1))
             await wait_until(lambda: harness.proxy.watch.initialized)
-            assert await client.round_trip(ready) == 200
+            assert await client.round_trip(readiness_check) == 200
     run_with_timeout(main())
 
 
 def test_a_poll_in_the_queue_of_discovery_does_not_time_out_early() -> None:
-    """Discovery serves polls in order, so a proxy that polls again goes back to the end of the queue."""
+    """A proxy that gave up after a second and polled again would go back to the end of that queue."""
     async def main() -> None:
         new_discovery = await Discovery().start()
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-@pytest.mark.parametrize("failure", ["rejected", "connection lost", "timed out", "malformed"])
+@pytest.mark.parametrize("failure", ["rejected", "connection lost", "timed out", "invalid answer"])
 def test_a_list_expires_6_s_after_its_last_answer_however_later_polls_fail(mode: str, failure: str) -> None:
     """The proxy is deemed notified of a change after 6 s even if no poll has brought it.
 
