--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -396,7 +396,10 @@
         self._start_next_poll()
 
     def _poll_failed(self, *, may_lack_changes: bool = True) -> None:
-        """Retry after a backoff with jitter; with polled discovery, notify the balancer instead."""
+        """Retry after a backoff with jitter; with polled discovery, notify the balancer instead.
+
+        `may_lack_changes`: the current list may lack changes that discovery had at the time of the poll.
+        """
         self.may_have_missed_changes = self.may_have_missed_changes or may_lack_changes
         self.poll, self.last_answer_started_ms = None, float("-inf")
         self._cancel_poll_timer()
--- a/honeywharf/net/list_expiry.py
+++ b/honeywharf/net/list_expiry.py
@@ -13,8 +13,8 @@
 class ListExpiry:
     """Notifies the balancer when the list's expiry time changes, and calls `on_expiry_due` at that time.
 
-    An expired list stays expired until the next list arrives. Without a new list, no evidence that it is
-    current makes it usable again.
+    An expired list stays expired until the next list arrives, even if discovery turns out to be down or to
+    have had no changes.
     """
 
     def __init__(
