--- a/tests/test_earlier_version_compatibility.py
+++ b/tests/test_earlier_version_compatibility.py
@@ -23,7 +23,7 @@
 
 from honeywharf import codec
 from honeywharf.simulator_adapter import SimulatorAdapter
-from tests.proxy_harness import WAIT_TIMEOUT_S, run_with_timeout
+from tests.proxy_harness import WAIT_TIMEOUT_S, run_test
 
 REPOSITORY_ROOT = Path(__file__).parent.parent
 RECORDING: dict[str, Any] = json.loads((Path(__file__).parent / "data" / "earlier_version.json").read_text())
@@ -148,7 +148,7 @@
 
 
 def test_the_proxy_exchanges_the_same_messages_and_metrics_on_the_same_configuration(tmp_path: Path) -> None:
-    exchange = run_with_timeout(run_exchange(RECORDING, tmp_path))
+    exchange = run_test(run_exchange(RECORDING, tmp_path))
     assert exchange.polls[:2] == RECORDING["polls"]
     assert exchange.backend_requests == RECORDING["backend_requests"]
     assert exchange.client_responses == RECORDING["client_responses"]
