--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""The HTTP forms: codecs, and what the readers make of whole, split and malformed messages."""
+"""HTTP/1.1 parsing: single headers, and complete, split and malformed requests and responses."""
 
 from __future__ import annotations
 
@@ -6,17 +6,15 @@
 
 from honeywharf.net import http1
 
-GOOD = (
+VALID_REQUEST = (
     b"POST /api?x=1 HTTP/1.1\r\nHost: app.svc\r\nX-Correlation-Id: 9b1f\r\nX-Service-Class: checkout\r\n"
     b"X-Account: acme\r\nCookie: a=b; sid=7f3a; c=d\r\nX-Time-Left: 480m\r\nX-Repeat: 1\r\n"
     b"X-Weight-Hint: 2500\r\nX-Facts: isWrite=1,odd\r\nIdempotency-Key: 5c0f\r\nContent-Length: 3\r\n\r\nabc"
 )
-
-
 CHUNKED = b"Transfer-Encoding: chunked\r\n\r\n"
 
 
-def reader() -> http1.RequestReader:
+def make_reader() -> http1.RequestReader:
     return http1.RequestReader(lambda: None)
 
 
@@ -24,47 +22,47 @@
     (b"480m", 480.0), (b"480000u", 480.0), (b"1.5m", 1.5), (b"0m", 0.0), (b" 7u ", 0.007),
     (b"480", None), (b"480s", None), (b"-1m", None), (b"nanm", None), (b"1e9m", None), (b"", None),
 ])
-def test_durations(text: bytes, ms: float | None) -> None:
+def test_parse_duration(text: bytes, ms: float | None) -> None:
     assert http1.parse_duration_ms(text) == ms
 
 
-def test_the_time_left_reads_back_and_is_never_negative() -> None:
+def test_the_time_left_header_is_in_microseconds_and_never_negative() -> None:
     _, _, value = http1.time_left_header(1234.5678).partition(b":")
     assert http1.parse_duration_ms(value.strip()) == pytest.approx(1234.567)
     assert http1.time_left_header(-3.0) == b"X-Time-Left: 0u\r\n"
 
 
-def test_a_request_in_one_piece_and_byte_by_byte_is_the_same() -> None:
-    (whole,) = reader().feed(GOOD)
-    slow, split = reader(), []
-    for i in range(len(GOOD)):
-        split += slow.feed(GOOD[i:i + 1])
-    (piece,) = split
-    for request in (whole, piece):
+def test_a_request_received_byte_by_byte_equals_one_received_at_once() -> None:
+    (whole,) = make_reader().feed(VALID_REQUEST)
+    split_reader, requests = make_reader(), []
+    for i in range(len(VALID_REQUEST)):
+        requests += split_reader.feed(VALID_REQUEST[i:i + 1])
+    (split,) = requests
+    for request in (whole, split):
         assert (request.method, request.target, request.body) == (b"POST", b"/api?x=1", b"abc")
         assert (request.id, request.class_name, request.account, request.session_id) == (
             "9b1f", "checkout", "acme", "7f3a")
         assert (request.time_left_ms, request.work_hint_ms, request.is_retry) == (480.0, 2.5, True)
         assert http1.parse_named_numbers(request.facts) == {"isWrite": 1.0}
         assert request.idempotency_key == b"5c0f"
-    assert whole.head() == piece.head()
+    assert whole.head() == split.head()
 
 
-def test_the_head_for_a_backend_keeps_what_the_protocol_names_and_words_the_rest_anew() -> None:
-    odd = b"Connection: close, X-Hop\r\nX-Hop: 1\r\nContent_Length: 9\r\nHost"
-    (request,) = reader().feed(GOOD.replace(b"Host", odd))
+def test_only_the_headers_that_the_protocol_names_are_forwarded() -> None:
+    extra_headers = b"Connection: close, X-Hop\r\nX-Hop: 1\r\nContent_Length: 9\r\nHost"
+    (request,) = make_reader().feed(VALID_REQUEST.replace(b"Host", extra_headers))
     head = request.head()
     assert head.startswith(b"POST /api?x=1 HTTP/1.1\r\n")
     for line in (b"Host: app.svc", b"X-Correlation-Id: 9b1f", b"Idempotency-Key: 5c0f", b"Content-Length: 3"):
         assert head.count(line + b"\r\n") == 1
-    for gone in (b"X-Time-Left", b"Connection", b"X-Hop", b"Content_Length"):
-        assert gone not in head
+    for dropped in (b"X-Time-Left", b"Connection", b"X-Hop", b"Content_Length"):
+        assert dropped not in head
     assert not request.keep_alive
 
 
-def test_a_chunked_body_goes_on_with_its_length() -> None:
-    chunked = GOOD.replace(b"Content-Length: 3\r\n\r\nabc", CHUNKED)
-    (request,) = reader().feed(chunked + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
+def test_a_chunked_body_is_forwarded_with_a_content_length() -> None:
+    chunked = VALID_REQUEST.replace(b"Content-Length: 3\r\n\r\nabc", CHUNKED)
+    (request,) = make_reader().feed(chunked + b"2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
     assert request.body == b"abc"
     assert b"Content-Length: 3\r\n" in request.head()
     assert b"Transfer-Encoding" not in request.head()
@@ -72,14 +70,14 @@
 
 @pytest.mark.parametrize(("raw", "status"), [
     (b"nonsense\r\n\r\n", 400),
-    (GOOD.replace(b"480m", b"soon"), 400),
-    (GOOD.replace(b"X-Account: acme", b"X-Correlation-Id: 2"), 400),
-    (GOOD.replace(b"Content-Length: 3", b"Content-Length: 65537"), 413),
-    (GOOD.replace(b"Content-Length: 3\r\n\r\nabc", CHUNKED + b"20000\r\n" + b"x" * 70000), 413),
-    (GOOD.replace(b"acme", b"a" * 20000), 431),
+    (VALID_REQUEST.replace(b"480m", b"soon"), 400),
+    (VALID_REQUEST.replace(b"X-Account: acme", b"X-Correlation-Id: 2"), 400),
+    (VALID_REQUEST.replace(b"Content-Length: 3", b"Content-Length: 65537"), 413),
+    (VALID_REQUEST.replace(b"Content-Length: 3\r\n\r\nabc", CHUNKED + b"20000\r\n" + b"x" * 70000), 413),
+    (VALID_REQUEST.replace(b"acme", b"a" * 20000), 431),
     (b"GET /" + b"a" * 20000, 431),
     (b"GET / HTTP/1.1\r\nX-Endless: " + b"a" * 20000, 431),
-    *((GOOD.replace(b"Content-Length: 3", odd), 400) for odd in (
+    *((VALID_REQUEST.replace(b"Content-Length: 3", headers), 400) for headers in (
         b"Content-Length: 3\r\nTransfer-Encoding: chunked",
         b"Transfer-Encoding: chunked\r\nContent-Length: 3",
         b"Content-Length: 3\r\nContent-Length: 3", b"Content-Length: 3\r\nContent-Length: 4",
@@ -92,71 +90,72 @@
         b"X-A: b\r\n folded", b"X-A: b\rContent-Length: 3", b"X-A: b\nContent-Length: 3", b"X-A : b",
         b"X-A: b\0c", b": x", b"X-Time-Left: 9m", b"X-Service-Class: b", b"Idempotency-Key: b",
     )),
-    (GOOD.replace(b"Content-Length: 3", b"Content-Length: " + b"9" * 17), 413),
-    (GOOD.replace(b"Content-Length: 3", b"Content-Length: " + b"9" * 40), 400),
-    (GOOD.replace(b"Correlation-Id: 9b1f", b"Correlation-Id: 9b 1f"), 400),
-    (GOOD.replace(b"Correlation-Id: 9b1f", b"Correlation-Id: " + b"a" * 129), 400),
-    (GOOD.replace(b"HTTP/1.1", b"HTTP/2.0"), 400), (GOOD.replace(b" HTTP/1.1", b""), 400),
-    (GOOD.replace(b"/api?", b"/a pi?"), 400), (GOOD.replace(b"/api?", b"/api\xff?"), 400),
-    (GOOD.replace(b"POST", b"FOO"), 400), (GOOD.replace(b"POST", b"CONNECT"), 400),
+    (VALID_REQUEST.replace(b"Content-Length: 3", b"Content-Length: " + b"9" * 17), 413),
+    (VALID_REQUEST.replace(b"Content-Length: 3", b"Content-Length: " + b"9" * 40), 400),
+    (VALID_REQUEST.replace(b"Correlation-Id: 9b1f", b"Correlation-Id: 9b 1f"), 400),
+    (VALID_REQUEST.replace(b"Correlation-Id: 9b1f", b"Correlation-Id: " + b"a" * 129), 400),
+    (VALID_REQUEST.replace(b"HTTP/1.1", b"HTTP/2.0"), 400), (VALID_REQUEST.replace(b" HTTP/1.1", b""), 400),
+    (VALID_REQUEST.replace(b"/api?", b"/a pi?"), 400), (VALID_REQUEST.replace(b"/api?", b"/api\xff?"), 400),
+    (VALID_REQUEST.replace(b"POST", b"FOO"), 400), (VALID_REQUEST.replace(b"POST", b"CONNECT"), 400),
 ])
-def test_malformed_requests_are_told_apart(raw: bytes, status: int) -> None:
-    made = reader()
+def test_malformed_requests_are_rejected_with_their_status(raw: bytes, status: int) -> None:
+    reader = make_reader()
     for i in range(0, len(raw), 4096):
-        assert made.feed(raw[i:i + 4096]) == []
-        if made.error is not None:
+        assert reader.feed(raw[i:i + 4096]) == []
+        if reader.error is not None:
             break
-    assert made.error is not None
-    assert made.error.status == status
+    assert reader.error is not None
+    assert reader.error.status == status
 
 
-def test_a_sound_request_before_a_malformed_one_is_not_lost() -> None:
-    made = reader()
-    (request,) = made.feed(GOOD + b"nonsense\r\n\r\n")
+def test_a_valid_request_before_a_malformed_one_is_read() -> None:
+    reader = make_reader()
+    (request,) = reader.feed(VALID_REQUEST + b"nonsense\r\n\r\n")
     assert request.id == "9b1f"
-    assert made.error is not None
+    assert reader.error is not None
 
 
-def test_an_answer_and_its_report_are_read() -> None:
-    made = http1.ResponseReader()
+def test_a_response_and_its_load_report_are_read() -> None:
+    reader = http1.ResponseReader()
     raw = b"HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nX-Backend-Load: queue=2\r\nContent-Length: 2\r\n\r\nno"
-    assert made.feed(raw[:-1]) is None
-    assert not made.idle
-    response = made.feed(raw[-1:])
+    assert reader.feed(raw[:-1]) is None
+    assert not reader.idle
+    response = reader.feed(raw[-1:])
     assert response is not None
     assert (
         response.status, response.unprocessed, response.load_report, response.body, response.keep_alive,
     ) == (503, True, b"queue=2", b"no", True)
-    assert made.idle
+    assert reader.idle
 
 
-def test_an_interim_answer_is_passed_over() -> None:
+def test_an_interim_response_is_skipped() -> None:
     raw = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\nConnection: close\r\n\r\nx"
     response = http1.ResponseReader().feed(raw)
     assert response is not None
     assert (response.status, response.body, response.keep_alive) == (200, b"x", False)
 
 
-OK = b"HTTP/1.1 200 OK\r\n"
+STATUS_LINE = b"HTTP/1.1 200 OK\r\n"
 
 
-@pytest.mark.parametrize("behind", [
-    OK + b"Content-Length: 1\r\n\r\ny", b"noise", b"\x00\xff", b"H", OK + b"Content-Length: 9\r\n\r\nhalf",
+@pytest.mark.parametrize("trailing", [
+    STATUS_LINE + b"Content-Length: 1\r\n\r\ny", b"noise", b"\x00\xff", b"H",
+    STATUS_LINE + b"Content-Length: 9\r\n\r\nhalf",
 ])
-@pytest.mark.parametrize("good", [
+@pytest.mark.parametrize("framed_body", [
     b"Content-Length: 1\r\n\r\nx", b"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
 ])
-def test_a_good_answer_is_not_lost_to_what_comes_behind_it(good: bytes, behind: bytes) -> None:
-    made = http1.ResponseReader()
-    response = made.feed(OK + good + behind)
+def test_a_complete_response_survives_trailing_data(framed_body: bytes, trailing: bytes) -> None:
+    reader = http1.ResponseReader()
+    response = reader.feed(STATUS_LINE + framed_body + trailing)
     assert response is not None
     assert response.body == b"x"
-    assert made.has_trailing_data
+    assert reader.has_trailing_data
 
 
-def test_interim_answers_leave_nothing_behind_and_end() -> None:
+def test_interim_responses_are_limited_and_their_headers_are_discarded() -> None:
     interim = b"HTTP/1.1 103 Early\r\nX-Backend-Load: queue=9\r\nX-Unprocessed: 1\r\n\r\n"
-    response = http1.ResponseReader().feed(interim * 2 + OK + b"Content-Length: 1\r\n\r\nx")
+    response = http1.ResponseReader().feed(interim * 2 + STATUS_LINE + b"Content-Length: 1\r\n\r\nx")
     assert response is not None
     assert (response.body, response.load_report, response.unprocessed) == (b"x", None, False)
     with pytest.raises(http1.MalformedMessageError):
@@ -167,41 +166,41 @@
     b"nan", b"inf", b"-inf", b"1_0", b"-1", b"+1", b"0x1", b"1e3", b"", b" ", b"1.", b".5",
     b"9" * 400, b"\xb2",
 ])
-def test_a_figure_that_makes_no_sense_is_none(text: bytes) -> None:
+def test_an_invalid_number_is_ignored(text: bytes) -> None:
     assert http1.parse_number(text) is None
     assert http1.parse_named_numbers(b"a=" + text + b",b=2") == {"b": 2.0}
-    (request,) = reader().feed(GOOD.replace(b"2500", text))
+    (request,) = make_reader().feed(VALID_REQUEST.replace(b"2500", text))
     assert request.work_hint_ms is None
 
 
-def test_an_idle_reader_keeps_nothing_of_the_last_request() -> None:
-    made = reader()
-    made.feed(GOOD)
-    assert made.request is http1.NO_REQUEST
-    assert made.parts == []
+def test_an_idle_reader_holds_no_memory_of_the_last_request() -> None:
+    reader = make_reader()
+    reader.feed(VALID_REQUEST)
+    assert reader.request is http1.NO_REQUEST
+    assert reader.body_parts == []
 
 
 @pytest.mark.parametrize("raw", [
     b"garbage\r\n\r\n",
-    OK + b"Transfer-Encoding: chunked\r\n\r\n100001\r\n" + b"x" * 0x100001 + b"\r\n0\r\n\r\n",
-    OK + b"Content-Length: 3000000000\r\n\r\n",  # at the head, not at the cap
-    OK + b"Content-Length: " + b"9" * 5000 + b"\r\n\r\n",
-    OK + b"Content-Length: -1\r\nContent-Length: 1\r\n\r\nx",
-    OK + b"Content-Length: 3\r\nContent-Length: 1\r\n\r\nxxx",
-    OK + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
-    OK + b"Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n",
-    OK + b"Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
+    STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n100001\r\n" + b"x" * 0x100001 + b"\r\n0\r\n\r\n",
+    STATUS_LINE + b"Content-Length: 3000000000\r\n\r\n",  # rejected at its head, not after 1 MiB
+    STATUS_LINE + b"Content-Length: " + b"9" * 5000 + b"\r\n\r\n",
+    STATUS_LINE + b"Content-Length: -1\r\nContent-Length: 1\r\n\r\nx",
+    STATUS_LINE + b"Content-Length: 3\r\nContent-Length: 1\r\n\r\nxxx",
+    STATUS_LINE + b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n",
+    STATUS_LINE + b"Transfer-Encoding: chunked\r\nContent-Length: 1\r\n\r\n",
+    STATUS_LINE + b"Transfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\nzz\r\n",
     b"HTTP/1.1 2x0 OK\r\nContent-Length: 0\r\n\r\n",
     b"HTTP/1.1 101 Switching\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
-    OK + b"X-Pad: pppp\r\n" * 2000,
-    OK + b"X-Pad: " + b"p" * 30000,
+    STATUS_LINE + b"X-Pad: pppp\r\n" * 2000,
+    STATUS_LINE + b"X-Pad: " + b"p" * 30000,
 ])
-def test_malformed_answers(raw: bytes) -> None:
+def test_malformed_responses_raise_an_error(raw: bytes) -> None:
     with pytest.raises(http1.MalformedMessageError):
         http1.ResponseReader().feed(raw)
 
 
-def test_an_answer_says_when_to_come_back_in_decimal_seconds() -> None:
+def test_retry_after_is_in_decimal_seconds() -> None:
     text = http1.format_response(503, retry_after_ms=250.0, keep_alive=False)
     assert b"Retry-After: 0.250\r\n" in text
     assert b"Connection: close\r\n" in text
