--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -1,4 +1,4 @@
-"""The real proxy: configuration, event loop, signals."""
+"""The proxy process: its configuration, its parts, its event loop and its signals."""
 
 from __future__ import annotations
 
@@ -24,153 +24,177 @@
 from honeywharf.net.log import log
 from honeywharf.net.upstream import Pool
 
-# Shares of the descriptors: callers hold a third at most with requests, each of which wants a connection to a
-# backend; the rest is for callers that idle. The proxy's own are those of the interpreter, the loop, the
-# listener and discovery, and room to accept while others are closing.
-OWN_SHARE, OWN_LEAST = 1 / 10, 20
-UPSTREAM_SHARE = 2 / 5
-ACCEPT_S = 0.6  # after SIGTERM: the front sends new connections for up to 0.4 s, and a busy machine runs late
-LAST_CALL_S = 0.5  # then, for connections that came and have not sent their request
-MAX_DRAIN_MS = 3000.0  # SIGKILL comes 0.7 s after this, or the longest deadline if less, at the soonest
-BEFORE_KILL_S = 0.45  # so long after that time, what is still open is answered
-LEAVE_S = 0.05  # then the process ends,
-MAX_FLUSH_MS = 150.0  # or at this time at the latest, where callers are slow to take their answers off
-FIRST_LIST_TIMEOUT_S = 5.0  # for a first list: restarts have to be ready within 10 s, on a busy machine too
-STATS_S = 5.0
+# The file descriptors are divided between the proxy itself, the connections to backends, and the clients.
+# Clients with open requests hold at most a third, because each of these requests needs a connection to a
+# backend; the rest is for idle clients. The proxy itself needs some for the interpreter, the event loop, the
+# listener and discovery, and some more to accept connections while others are closing.
+OWN_DESCRIPTOR_SHARE = 1 / 10
+MIN_OWN_DESCRIPTORS = 20
+UPSTREAM_DESCRIPTOR_SHARE = 2 / 5
+# After SIGTERM, the load balancer in front of the proxy opens new connections for up to 0.4 s. The listener
+# stays open for longer, because a busy machine runs late.
+LISTEN_AFTER_SIGTERM_S = 0.6
+# Once the listener is closed, the accepted connections have this long to send their first request.
+FIRST_REQUEST_GRACE_S = 0.5
+# A drain lasts for the longest deadline of all classes, but at most for this time. SIGKILL follows no earlier
+# than 0.7 s after its end.
+MAX_DRAIN_MS = 3000.0
+# This long after the end of the drain, the proxy answers the requests that are still open.
+FAIL_AFTER_DRAIN_S = 0.45
+# The process ends this long after those answers, or later if clients are slow to read them, but no later than
+# MAX_FLUSH_MS after them.
+FLUSH_S = 0.05
+MAX_FLUSH_MS = 150.0
+# A restarted proxy must be ready within 10 s, even on a busy machine, so it does not wait longer for a list.
+FIRST_LIST_TIMEOUT_S = 5.0
+STATS_INTERVAL_S = 5.0
 
 
 class Proxy:
-    """All parts of one running proxy."""
-
-    def __init__(self, conf: config.Config, loop: asyncio.AbstractEventLoop) -> None:
-        self.conf, self.loop, self.clock = conf, loop, Clock()
-        max_sockets = min(conf.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
-        room = max_sockets - min(max(OWN_LEAST, int(max_sockets * OWN_SHARE)), max_sockets // 2)
-        upstream = min(int(max_sockets * UPSTREAM_SHARE), room // 2)
-        self.pool = Pool(loop, self.clock, conf.settings.limits, upstream)
+    """One running proxy with all its parts."""
+
+    def __init__(self, configuration: config.Config, loop: asyncio.AbstractEventLoop) -> None:
+        self.configuration, self.loop, self.clock = configuration, loop, Clock()
+        max_sockets = min(configuration.max_sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        available = max_sockets - min(
+            max(MIN_OWN_DESCRIPTORS, int(max_sockets * OWN_DESCRIPTOR_SHARE)), max_sockets // 2)
+        max_upstream = min(int(max_sockets * UPSTREAM_DESCRIPTOR_SHARE), available // 2)
+        self.pool = Pool(loop, self.clock, configuration.settings.limits, max_upstream)
         self.driver = Driver(
-            conf.settings, Balancer(conf.settings, conf.seed), self.pool, loop, self.clock,
-            conf.report_fields)
+            configuration.settings, Balancer(configuration.settings, configuration.seed), self.pool, loop,
+            self.clock, configuration.report_fields)
         self.directory = Directory(self.pool)
         self.watch = Watch(
-            loop, self.clock, conf.discovery, self.directory, self.driver.discovery_event,
-            polled=conf.settings.polled_discovery, rules=conf.settings.rules)
+            loop, self.clock, configuration.discovery, self.directory, self.driver.discovery_event,
+            polled=configuration.settings.polled_discovery, rules=configuration.settings.rules)
         self.driver.registry = self.watch
-        # Out of service until discovery has answered, as nothing is sent on the list of the last run before
-        # that. But not for long: the module refuses what it cannot send.
+        # The proxy is not ready until discovery has answered, because until then it sends nothing to the
+        # endpoints of the cached list. After a timeout it becomes ready all the same, and the decision module
+        # refuses the requests that it cannot send.
         self.frontend = Frontend(
-            loop, self.clock, self.driver, room - upstream,
-            lambda: self.waited or self.watch.first_poll_done)
-        self.waited = False  # discovery has been waited for long enough
+            loop, self.clock, self.driver, available - max_upstream,
+            lambda: self.first_list_timed_out or self.watch.first_poll_done)
+        self.first_list_timed_out = False
         self.stopped = asyncio.Event()
-        self.told: dict[str, int] = {}
+        self.logged_counts: dict[str, int] = {}
         self.environ: Mapping[str, str] = os.environ
 
     async def run(self) -> None:
-        """Serve until SIGTERM and then until nothing is open."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self.loop.add_signal_handler(number, self.drain)
+        """Serve until SIGTERM, and then until the drain has ended."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self.loop.add_signal_handler(signal_number, self.drain)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
-        cached_list = self.directory.apply(self.conf.cached_list, api.ListKind.CACHED)
-        self.driver.start(replace(cached_list, expires_at_ms=float("-inf")))  # until discovery has answered
-        host, port = await self.frontend.listen(self.conf.listen)
-        log(f"{self.conf.name} listens on {host}:{port}")
+        cached_list = self.directory.apply(self.configuration.cached_list, api.ListKind.CACHED)
+        # The cached list is expired until discovery has answered.
+        self.driver.start(replace(cached_list, expires_at_ms=float("-inf")))
+        host, port = await self.frontend.listen(self.configuration.listen)
+        log(f"{self.configuration.name} listens on {host}:{port}")
         self.watch.start()
         self.loop.call_later(FIRST_LIST_TIMEOUT_S, self._on_first_list_timeout)
-        self.loop.call_later(STATS_S, self._stats)
+        self.loop.call_later(STATS_INTERVAL_S, self._log_stats)
         gc.collect()
-        gc.freeze()  # the collector need not look at what stays
+        gc.freeze()  # the objects created so far are permanent, so the collector need not scan them
         gc.set_threshold(20000, 20, 50)
         await self.stopped.wait()
-        log(f"stops: {self.driver.open_requests} requests open")
+        log(f"stopped: {self.driver.open_requests} open requests")
 
     def reload(self) -> None:
-        """Take over where discovery is now. All that is held, requests and records, goes on untouched."""
+        """Apply a changed address of discovery from the configuration file. Nothing else changes."""
         try:
-            conf = config.load(self.environ)
-        except Exception as fault:  # a bad file, however bad, must not end a proxy in service
-            log(f"reload: {fault or type(fault).__name__}; the configuration held stays")
+            configuration = config.load(self.environ)
+        except Exception as error:  # no error in the file may end a proxy in service
+            log(f"reload: {error or type(error).__name__}; the current configuration stays")
             return
-        old, self.conf = self.conf, replace(self.conf, discovery=conf.discovery)
-        if conf.discovery != old.discovery:
-            log(f"reload: discovery is at {conf.discovery[0]}:{conf.discovery[1]}")
-        if (conf.listen, conf.max_sockets, conf.settings) != (old.listen, old.max_sockets, old.settings):
-            log("reload: listen, limits and settings are taken over at the next start")
-        self.watch.change_address(conf.discovery)
+        old, self.configuration = (
+            self.configuration, replace(self.configuration, discovery=configuration.discovery))
+        if configuration.discovery != old.discovery:
+            log(f"reload: discovery is now at {configuration.discovery[0]}:{configuration.discovery[1]}")
+        if (configuration.listen, configuration.max_sockets, configuration.settings) != (
+                old.listen, old.max_sockets, old.settings):
+            log("reload: changes of listen, limits and settings take effect at the next start")
+        self.watch.change_address(configuration.discovery)
 
     def drain(self) -> None:
-        """Leave service without losing a request: see DEPLOY and PROTOCOL on planned restarts."""
+        """Stop serving without losing a request; DEPLOY and PROTOCOL describe planned restarts."""
         if self.frontend.draining:
             return
         connections = len(self.frontend.connections)
-        log(f"drain: {self.driver.open_requests} requests open on {connections} connections")
+        log(f"drain: {self.driver.open_requests} open requests, {connections} client connections")
         self.frontend.drain()
-        longest = max(c.deadline_ms for c in self.conf.settings.classes)
-        self.loop.call_later(ACCEPT_S, self._close_listener)
-        self.loop.call_later(min(longest, MAX_DRAIN_MS) / 1000.0 + BEFORE_KILL_S, self._fail_open_requests)
+        longest_ms = max(cls.deadline_ms for cls in self.configuration.settings.classes)
+        self.loop.call_later(LISTEN_AFTER_SIGTERM_S, self._close_listener)
+        self.loop.call_later(
+            min(longest_ms, MAX_DRAIN_MS) / 1000.0 + FAIL_AFTER_DRAIN_S, self._fail_open_requests)
 
     def _close_listener(self) -> None:
         self.frontend.stop_listening(self.stopped.set)
-        self.loop.call_later(LAST_CALL_S, self.frontend.close_idle)
+        self.loop.call_later(FIRST_REQUEST_GRACE_S, self.frontend.close_idle)
 
     def _fail_open_requests(self) -> None:
-        """What is still open is answered before the process is killed, and so is what comes from now on."""
+        """Answer the open requests before the process is killed, and refuse those that still arrive."""
         self.frontend.refusing = True
         self.driver.fail_open_requests()
-        self.loop.call_later(LEAVE_S, self._stop_when_flushed, self.clock.now() + MAX_FLUSH_MS)
+        self.loop.call_later(FLUSH_S, self._stop_when_flushed, self.clock.now() + MAX_FLUSH_MS)
 
     def _stop_when_flushed(self, latest_ms: float) -> None:
-        """End once the answers have left. Guards against taking the rest of one along."""
+        """Stop once all responses are written, or at `latest_ms`: what is unwritten by then is lost."""
         if self.frontend.has_unwritten_data() and self.clock.now() < latest_ms:
-            self.loop.call_later(LEAVE_S / 5, self._stop_when_flushed, latest_ms)
+            self.loop.call_later(FLUSH_S / 5, self._stop_when_flushed, latest_ms)
         else:
             self.stopped.set()
 
     def _on_first_list_timeout(self) -> None:
-        """Guards against a restart that takes as long as discovery is down, or its line is full."""
-        self.waited = True
+        """Become ready. Otherwise a restart would take as long as discovery is down or its queue is full."""
+        self.first_list_timed_out = True
 
-    def _stats(self) -> None:
-        """Now and then, what has been done since: a line for the operator."""
+    def _log_stats(self) -> None:
+        """Log the counters that have changed since the last time."""
         counts = {
             **self.driver.counts, **self.watch.counts, "handshakes": self.pool.handshakes,
             "late_connections": self.pool.late,
         }
-        changed = {k: v - self.told.get(k, 0) for k, v in counts.items() if v != self.told.get(k, 0)}
+        changed = {
+            name: count - self.logged_counts.get(name, 0) for name, count in counts.items()
+            if count != self.logged_counts.get(name, 0)}
         if changed:
-            log("stats " + " ".join(f"{k.replace(' ', '_')}={v}" for k, v in sorted(changed.items())))
+            log("stats " + " ".join(
+                f"{name.replace(' ', '_')}={count}" for name, count in sorted(changed.items())))
             log("list " + self.watch.figures())
             log("zones " + self.driver.balancer.summary())
-        self.told = counts
-        self.loop.call_later(STATS_S, self._stats)
+        self.logged_counts = counts
+        self.loop.call_later(STATS_INTERVAL_S, self._log_stats)
 
 
-async def serve(conf: config.Config, early: list[int]) -> None:
-    """Run one proxy in the running loop; `early`: signals to reload that came before it."""
+async def serve(configuration: config.Config, early_signals: list[int]) -> None:
+    """Run one proxy in the running event loop. `early_signals`: the SIGHUP signals received before."""
     loop = asyncio.get_running_loop()
 
-    def caught(_: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
+    def log_unhandled_error(_: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
         log(f"event loop: {context.get('message')}: {context.get('exception')!r}")
 
-    loop.set_exception_handler(caught)
-    proxy = Proxy(conf, loop)
-    if early:
+    loop.set_exception_handler(log_unhandled_error)
+    proxy = Proxy(configuration, loop)
+    if early_signals:
         loop.call_soon(proxy.reload)
     await proxy.run()
 
 
 def main() -> int:
-    """Exit status: 0 after SIGTERM, 2 where the configuration is bad or the address can't be had."""
-    early: list[int] = []  # guards against SIGHUP ending the process before the loop can take it
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    """Run the proxy and return its exit status.
+
+    The status is 0 after SIGTERM, and 2 if the configuration is invalid or the address is not available.
+    """
+    # Without this handler, a SIGHUP before the event loop has its own would end the process.
+    early_signals: list[int] = []
+    signal.signal(signal.SIGHUP, lambda signal_number, _: early_signals.append(signal_number))
     try:
-        conf = config.load()
-        uvloop.run(serve(conf, early))
-    except (config.ConfigError, ValueError) as fault:
-        print(f"honeywharf: {fault}", file=sys.stderr)
+        configuration = config.load()
+        uvloop.run(serve(configuration, early_signals))
+    except (config.ConfigError, ValueError) as error:
+        print(f"honeywharf: {error}", file=sys.stderr)
         return 2
-    except OSError as fault:
-        print(f"honeywharf: {fault.strerror or fault}", file=sys.stderr)
+    except OSError as error:
+        print(f"honeywharf: {error.strerror or error}", file=sys.stderr)
         return 2
     return 0
 
--- a/honeywharf/net/config.py
+++ b/honeywharf/net/config.py
@@ -1,4 +1,4 @@
-"""The deployment's configuration, read once into typed values."""
+"""Reads the configuration file of a proxy into typed values."""
 
 from __future__ import annotations
 
@@ -15,12 +15,17 @@
 
 
 class ConfigError(Exception):
-    """What is wrong with the configuration, in one plain line."""
+    """The configuration is missing or invalid. The message is one line that says why."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
-    """All that a proxy is told at its start. `known` is the last list, in discovery's form."""
+    """The configuration of a proxy.
+
+    `max_sockets`: how many file descriptors the proxy may open.
+    `cached_list`: the endpoint list of the last run, in the form in which discovery sends it.
+    `report_fields`: the names of the values in a load report, as the settings give them.
+    """
 
     name: str
     listen: Address
@@ -29,71 +34,71 @@
     max_sockets: int
     cached_list: dict[str, Any]
     settings: api.Settings
-    report_fields: tuple[str, ...]  # as the settings name them
+    report_fields: tuple[str, ...]
 
 
 def parse_address(text: object) -> Address:
-    """A `host:port` as a pair; ValueError where it is none."""
+    """Parse `host:port`; ValueError if it is invalid."""
     if not isinstance(text, str):
-        raise ValueError(f"an address is wanted, not {text!r}")
+        raise ValueError(f"an address must be a string, not {text!r}")
     host, colon, port = text.rpartition(":")
     if not host or not colon or not port.isascii() or not port.isdigit() or not 0 <= int(port) < 65536:
-        raise ValueError(f"an address is host:port, not {text!r}")
+        raise ValueError(f"an address must be host:port, not {text!r}")
     return host.strip("[]"), int(port)
 
 
 def load(environ: Mapping[str, str] = os.environ) -> Config:
-    """The configuration that the environment names."""
+    """Load the configuration file that `NODE_CONFIG` names."""
     path = environ.get("NODE_CONFIG")
     if not path:
         raise ConfigError("NODE_CONFIG is not set")
     try:
         with open(path, "rb") as file:
             raw = orjson.loads(file.read())
-    except OSError as fault:
-        raise ConfigError(f"NODE_CONFIG: {fault.strerror or fault}") from None
-    except orjson.JSONDecodeError as fault:
-        raise ConfigError(f"NODE_CONFIG is not JSON: {fault}") from None
+    except OSError as error:
+        raise ConfigError(f"NODE_CONFIG: {error.strerror or error}") from None
+    except orjson.JSONDecodeError as error:
+        raise ConfigError(f"NODE_CONFIG is not JSON: {error}") from None
     if not isinstance(raw, dict):
-        raise ConfigError("NODE_CONFIG: an object is wanted")
+        raise ConfigError("NODE_CONFIG: the file must contain a JSON object")
     try:
-        return _typed(raw, environ)
-    except (codec.DecodeError, ValueError) as fault:
-        raise ConfigError(f"NODE_CONFIG: {fault}") from None
+        return _decode_config(raw, environ)
+    except (codec.DecodeError, ValueError) as error:
+        raise ConfigError(f"NODE_CONFIG: {error}") from None
 
 
-def _typed(raw: dict[str, Any], environ: Mapping[str, str]) -> Config:
+def _decode_config(raw: dict[str, Any], environ: Mapping[str, str]) -> Config:
     settings = raw.get("settings")
     if not isinstance(settings, dict):
-        raise ValueError("settings: an object is wanted")
+        raise ValueError("settings must be an object")
     cached_list = raw.get("known", {"generation": 0, "instances": []})
     if not isinstance(cached_list, dict):
-        raise ValueError("known: an object is wanted")
+        raise ValueError("known must be an object")
     limits = raw.get("limits") or {}
     max_sockets = limits.get("sockets", 1024) if isinstance(limits, dict) else None
     if isinstance(max_sockets, bool) or not isinstance(max_sockets, int) or max_sockets < 32:
-        raise ValueError("limits.sockets: a whole number of at least 32 is wanted")
+        raise ValueError("limits.sockets must be an integer of at least 32")
     report = settings.get("report")
     fields = report.get("fields") if isinstance(report, dict) else None
-    typed = codec.decode_settings(settings)
+    decoded_settings = codec.decode_settings(settings)
     return Config(
         name=str(raw.get("name") or environ.get("NODE_NAME") or "proxy"),
         listen=parse_address(raw.get("listen") or environ.get("NODE_LISTEN")),
         discovery=parse_address(raw.get("discovery") or environ.get("NODE_DISCOVERY")),
-        seed=_seed(raw.get("seed")),
+        seed=_parse_seed(raw.get("seed")),
         max_sockets=max_sockets,
         cached_list=cached_list,
-        settings=typed,
+        settings=decoded_settings,
         report_fields=tuple(fields) if isinstance(fields, list) else (),
     )
 
 
-def _seed(value: object) -> int:
+def _parse_seed(value: object) -> int:
     if isinstance(value, int):
         return value
     if not isinstance(value, str):
-        raise ValueError("seed: hex digits are wanted")
+        raise ValueError("seed must be an integer or a string of hexadecimal digits")
     try:
         return int(value, 16)
     except ValueError:
-        raise ValueError(f"seed: hex digits are wanted, not {value!r}") from None
+        raise ValueError(f"seed must be a string of hexadecimal digits, not {value!r}") from None
--- a/honeywharf/net/log.py
+++ b/honeywharf/net/log.py
@@ -1,4 +1,4 @@
-"""Operator log: plain lines on standard error."""
+"""The log for the operator: plain lines on standard error."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def log(message: str) -> None:
-    """Write one line for the operator."""
+    """Write one line to the log."""
     print(message, file=sys.stderr, flush=True)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,4 +1,4 @@
-"""The program as a process: configuration, SIGTERM, and too few descriptors."""
+"""The proxy as a process: configuration, signals, and running out of file descriptors."""
 
 from __future__ import annotations
 
@@ -18,12 +18,13 @@
 from tests.proxy_process import REPOSITORY_ROOT, ProxyProcess, write_config
 
 
-def test_the_configuration_is_typed(tmp_path: Path) -> None:
-    made = config.load(write_config(tmp_path, listen="127.0.0.2:3000"))
-    assert (made.listen, made.discovery, made.max_sockets) == (("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
-    assert made.seed == 0x8C1F30D27A5BE964
-    assert made.settings.load_report_fields == ("queue", "in_flight")
-    assert made.report_fields == ("pending", "busy_reqs")
+def test_the_configuration_file_is_decoded(tmp_path: Path) -> None:
+    loaded = config.load(write_config(tmp_path, listen="127.0.0.2:3000"))
+    assert (loaded.listen, loaded.discovery, loaded.max_sockets) == (
+        ("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
+    assert loaded.seed == 0x8C1F30D27A5BE964
+    assert loaded.settings.load_report_fields == ("queue", "in_flight")
+    assert loaded.report_fields == ("pending", "busy_reqs")
 
 
 @pytest.mark.parametrize("changes", [
@@ -32,7 +33,7 @@
     {"limits": {"sockets": "many"}}, {"known": {"generation": 1, "instances": 5}},
     {"settings": {**SETTINGS, "profiles": []}}, {"listen": "192.0.2.1:3000"},
 ])
-def test_a_bad_configuration_is_one_plain_line_and_status_2(tmp_path: Path, changes: dict[str, Any]) -> None:
+def test_an_invalid_configuration_exits_with_status_2(tmp_path: Path, changes: dict[str, Any]) -> None:
     result = subprocess.run(
         [sys.executable, "-m", "honeywharf"],
         env=write_config(tmp_path, **changes),
@@ -48,7 +49,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "{", "[]"])
-def test_no_configuration_at_all(tmp_path: Path, text: str | None) -> None:
+def test_a_missing_or_malformed_configuration_is_an_error(tmp_path: Path, text: str | None) -> None:
     file = tmp_path / "c.json"
     if text is not None:
         file.write_text(text)
@@ -57,83 +58,85 @@
             config.load(environ)
 
 
-def test_after_sigterm_it_ends_with_0(tmp_path: Path) -> None:
+def test_the_process_ends_with_status_0_after_sigterm(tmp_path: Path) -> None:
     with ProxyProcess(tmp_path) as proxy:
         assert proxy.get("/nowhere").startswith(b"HTTP/1.1 404 ")
         proxy.process.send_signal(signal.SIGTERM)
         assert proxy.process.wait(WAIT_TIMEOUT_S) == 0
 
 
-def test_running_out_of_descriptors_ends_nothing(tmp_path: Path) -> None:
-    """More callers than descriptors: the listener, and the callers that are served, go on."""
+def test_running_out_of_descriptors_interrupts_no_request_and_no_listener(tmp_path: Path) -> None:
+    """With more clients than descriptors, open requests are served and the listener recovers."""
     with ProxyProcess(tmp_path, descriptors=64) as proxy:
-        first = proxy.connect()  # in the middle of a request: it is not closed to make room
+        first = proxy.connect()  # its request is incomplete, so it must not be closed for another client
         first.sendall(b"POST /nowhere HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
         assert first.recv(4096).startswith(b"HTTP/1.1 100 ")
-        crowd = []
+        other_clients = []
         for _ in range(120):
-            made = socket.socket()
-            made.setblocking(False)
-            made.connect_ex(("127.0.0.1", proxy.port))
-            crowd.append(made)
+            client = socket.socket()
+            client.setblocking(False)
+            client.connect_ex(("127.0.0.1", proxy.port))
+            other_clients.append(client)
         first.sendall(b"ok")
         assert first.recv(4096).startswith(b"HTTP/1.1 404 ")
-        for made in crowd:
-            made.close()
-        end = time.monotonic() + WAIT_TIMEOUT_S
-        answer = b""
-        while not answer:  # the listener takes callers again once descriptors are free
-            assert time.monotonic() < end
+        for client in other_clients:
+            client.close()
+        deadline = time.monotonic() + WAIT_TIMEOUT_S
+        response = b""
+        while not response:  # the listener accepts clients again once descriptors are free
+            assert time.monotonic() < deadline
             try:
-                answer = proxy.get("/nowhere")
+                response = proxy.get("/nowhere")
             except ConnectionError:
                 time.sleep(0.01)
-        assert answer.startswith(b"HTTP/1.1 404 ")
+        assert response.startswith(b"HTTP/1.1 404 ")
         assert proxy.process.poll() is None
         first.close()
 
 
-class Agent:
-    """A discovery that answers every call with nothing new, and notes it."""
+class EmptyDiscovery:
+    """A discovery service that answers every poll with an empty endpoint list."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.settimeout(WAIT_TIMEOUT_S)
-        self.where = f"127.0.0.1:{self.listener.getsockname()[1]}"
-
-    def asked(self) -> bytes:
-        """The first line of the first call on the next connection."""
-        made, _ = self.listener.accept()
-        with made:
-            made.settimeout(WAIT_TIMEOUT_S)
-            line = made.recv(4096).split(b"\r\n")[0]
+        self.address = f"127.0.0.1:{self.listener.getsockname()[1]}"
+
+    def answer_poll(self) -> bytes:
+        """Answer the first poll on the next connection, and return its request line."""
+        connection, _ = self.listener.accept()
+        with connection:
+            connection.settimeout(WAIT_TIMEOUT_S)
+            request_line = connection.recv(4096).split(b"\r\n")[0]
             body = b'{"generation":1,"reset":true,"instances":[]}'
-            made.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
-        return line
+            connection.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
+        return request_line
 
 
-def test_sighup_moves_discovery_and_a_bad_file_is_one_line(tmp_path: Path) -> None:
-    first, second = Agent(), Agent()
-    with ProxyProcess(tmp_path, discovery=first.where) as proxy:
-        assert first.asked().startswith(b"GET /registry/instances?after=1&")
+def test_sighup_applies_a_new_discovery_address_and_rejects_an_invalid_file(tmp_path: Path) -> None:
+    first, second = EmptyDiscovery(), EmptyDiscovery()
+    with ProxyProcess(tmp_path, discovery=first.address) as proxy:
+        assert first.answer_poll().startswith(b"GET /registry/instances?after=1&")
         file = tmp_path / "config.json"
-        good, errors = json.loads(file.read_text()), proxy.process.stderr
+        valid, errors = json.loads(file.read_text()), proxy.process.stderr
         assert errors is not None
-        for bad in ("{", "[]", json.dumps({**good, "discovery": "nowhere"}), json.dumps({**good, "seed": []}),
-                    json.dumps({**good, "settings": {**SETTINGS, "zone": 3}}), "\udcff"):
-            file.write_bytes(bad.encode(errors="surrogateescape"))
+        for invalid in (
+            "{", "[]", json.dumps({**valid, "discovery": "nowhere"}), json.dumps({**valid, "seed": []}),
+            json.dumps({**valid, "settings": {**SETTINGS, "zone": 3}}), "\udcff",
+        ):
+            file.write_bytes(invalid.encode(errors="surrogateescape"))
             proxy.process.send_signal(signal.SIGHUP)
             while not (line := errors.readline()).startswith("reload: "):
                 assert line.startswith("discovery: ")
-            assert line.endswith("; the configuration held stays\n")
+            assert line.endswith("; the current configuration stays\n")
         assert proxy.get("/nowhere").startswith(b"HTTP/1.1 404 ")
-        for agent in (second, first, second):  # repeated
-            file.write_text(json.dumps({**good, "discovery": agent.where}))
+        for service in (second, first, second):
+            file.write_text(json.dumps({**valid, "discovery": service.address}))
             proxy.process.send_signal(signal.SIGHUP)
-            # One poll is in flight at a time: three calls are not all left from before the move.
-            lines = [agent.asked() for _ in range(3)]
+            # Only one poll is in flight at a time, so at least one of three is newer than the change.
+            lines = [service.answer_poll() for _ in range(3)]
             assert all(line.startswith(b"GET /registry/instances?after=1&wait_ms=") for line in lines)
-            assert any(b"&wait_ms=0 " in line for line in lines)  # the first at an address does not wait
+            assert any(b"&wait_ms=0 " in line for line in lines)  # the first poll at an address does not wait
         proxy.process.send_signal(signal.SIGTERM)
         proxy.process.send_signal(signal.SIGHUP)
         assert proxy.process.wait(WAIT_TIMEOUT_S) == 0
