--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -17,12 +17,12 @@
 from honeywharf.balancer import Balancer
 from honeywharf.net import config
 from honeywharf.net.clock import Clock
-from honeywharf.net.directory import Directory
-from honeywharf.net.discovery import Watch
+from honeywharf.net.connection_pool import ConnectionPool
+from honeywharf.net.discovery import DiscoveryClient
 from honeywharf.net.downstream import Frontend
 from honeywharf.net.driver import Driver
+from honeywharf.net.endpoint_directory import EndpointDirectory
 from honeywharf.net.log import log
-from honeywharf.net.upstream import Pool
 
 # The file descriptors are divided between the proxy itself, the connections to backends, and the clients.
 # Clients with open requests hold at most a third, because each of these requests needs a connection to a
@@ -59,21 +59,21 @@
         available = max_sockets - min(
             max(MIN_OWN_DESCRIPTORS, int(max_sockets * OWN_DESCRIPTOR_SHARE)), max_sockets // 2)
         max_upstream = min(int(max_sockets * UPSTREAM_DESCRIPTOR_SHARE), available // 2)
-        self.pool = Pool(loop, self.clock, configuration.settings.limits, max_upstream)
+        self.pool = ConnectionPool(loop, self.clock, configuration.settings.limits, max_upstream)
         self.driver = Driver(
             configuration.settings, Balancer(configuration.settings, configuration.seed), self.pool, loop,
             self.clock, configuration.report_fields)
-        self.directory = Directory(self.pool)
-        self.watch = Watch(
-            loop, self.clock, configuration.discovery, self.directory, self.driver.discovery_event,
+        self.directory = EndpointDirectory(self.pool)
+        self.watch = DiscoveryClient(
+            loop, self.clock, configuration.discovery, self.directory, self.driver.handle_discovery_event,
             polled=configuration.settings.polled_discovery, rules=configuration.settings.rules)
-        self.driver.registry = self.watch
+        self.driver.discovery = self.watch
         # The proxy is not ready until discovery has answered, because until then it sends nothing to the
         # endpoints of the cached list. After a timeout it becomes ready all the same, and the decision module
         # refuses the requests that it cannot send.
         self.frontend = Frontend(
             loop, self.clock, self.driver, available - max_upstream,
-            lambda: self.first_list_timed_out or self.watch.first_poll_done)
+            lambda: self.first_list_timed_out or self.watch.initialized)
         self.first_list_timed_out = False
         self.stopped = asyncio.Event()
         self.logged_counts: dict[str, int] = {}
@@ -96,7 +96,7 @@
         gc.freeze()  # the objects created so far are permanent, so the collector need not scan them
         gc.set_threshold(20000, 20, 50)
         await self.stopped.wait()
-        log(f"stopped: {self.driver.open_requests} open requests")
+        log(f"stopped: {self.driver.open_request_count} open requests")
 
     def reload(self) -> None:
         """Apply a changed address of discovery from the configuration file. Nothing else changes."""
@@ -119,7 +119,7 @@
         if self.frontend.draining:
             return
         connections = len(self.frontend.connections)
-        log(f"drain: {self.driver.open_requests} open requests, {connections} client connections")
+        log(f"drain: {self.driver.open_request_count} open requests, {connections} client connections")
         self.frontend.drain()
         longest_ms = max(cls.deadline_ms for cls in self.configuration.settings.classes)
         self.loop.call_later(LISTEN_AFTER_SIGTERM_S, self._close_listener)
@@ -132,7 +132,7 @@
 
     def _fail_open_requests(self) -> None:
         """Answer the open requests before the process is killed, and refuse those that still arrive."""
-        self.frontend.refusing = True
+        self.frontend.refusing_requests = True
         self.driver.fail_open_requests()
         self.loop.call_later(FLUSH_S, self._stop_when_flushed, self.clock.now() + MAX_FLUSH_MS)
 
@@ -151,7 +151,7 @@
         """Log the counters that have changed since the last time."""
         counts = {
             **self.driver.counts, **self.watch.counts, "handshakes": self.pool.handshakes,
-            "late_connections": self.pool.late,
+            "late_connections": self.pool.slow_connect_count,
         }
         changed = {
             name: count - self.logged_counts.get(name, 0) for name, count in counts.items()
@@ -159,7 +159,7 @@
         if changed:
             log("stats " + " ".join(
                 f"{name.replace(' ', '_')}={count}" for name, count in sorted(changed.items())))
-            log("list " + self.watch.figures())
+            log("list " + self.watch.summary())
             log("zones " + self.driver.balancer.summary())
         self.logged_counts = counts
         self.loop.call_later(STATS_INTERVAL_S, self._log_stats)
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -276,7 +276,7 @@
         self.outcomes: list[api.Outcome] = []
         self.finished = asyncio.Event()
 
-    def ended(self, outcome: api.Outcome, response: http1.Response | None) -> None:
+    def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
         self.outcomes.append(outcome)
         self.response_body = response.body if response is not None else b""
         self.finished.set()
@@ -318,7 +318,7 @@
     """Run a proxy that knows these endpoints, and whose first poll has returned that nothing has changed."""
     async with started_proxy(entries, **changes) as harness:
         harness.discovery.publish(1)
-        await wait_until(lambda: harness.proxy.watch.first_poll_done)
+        await wait_until(lambda: harness.proxy.watch.initialized)
         yield harness
 
 
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -55,7 +55,7 @@
     """
     monkeypatch.setattr(list_freshness, "MAX_AGE_MS", 1e9)
     # The clock advances fast, but the clients' connections must stay open.
-    for name in ("SILENT_MS", "IDLE_MS", "CROWDED_IDLE_MS"):
+    for name in ("FIRST_BYTE_TIMEOUT_MS", "IDLE_TIMEOUT_MS", "REDUCED_IDLE_TIMEOUT_MS"):
         monkeypatch.setattr(downstream, name, 1e9)
 
     async def main() -> None:
@@ -77,7 +77,7 @@
             use_clock(worlds[-1], clock)
             discovery.publish(1, *rows(0.0), reset=True)
             await worlds[-1].start()
-            await wait_until(lambda: worlds[-1].proxy.watch.first_poll_done)
+            await wait_until(lambda: worlds[-1].proxy.watch.initialized)
             clients.append(await Client.connect(worlds[-1].port))
 
         async def run_traffic(duration_s: float, first_client: int) -> int:
