--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -22,14 +22,14 @@
 )
 
 REJECTED = make_response(503, b"", b"X-Unprocessed: 1")
-# A client either closes its connection, or cancels by shutting down its sending side.
-DISCONNECT_MODES = ("closes", "cancels")
+# A client either closes its connection, or half-closes it, which means that it shuts down its sending side.
+DISCONNECT_MODES = ("closes", "half_closes")
 
 
 class BlockingClient:
     """A client on a blocking socket.
 
-    It disconnects in a single step, which the event loop does not notice before it polls its sockets again.
+    It disconnects in a single step, and the event loop does not notice this until it polls its sockets again.
     """
 
     def __init__(self, harness: ProxyHarness, disconnect_mode: str) -> None:
@@ -63,40 +63,45 @@
         return connection
 
 
-def call_during_event(
-    harness: ProxyHarness, event_type: type, number: int, callback: Callable[[], None]
+def call_after_event(
+    harness: ProxyHarness, event_type: type, event_number: int, callback: Callable[[], None]
 ) -> None:
-    """Call back while the decision module handles its n-th event of a type, where n is `number`."""
+    """Call `callback` when the balancer has handled a number of events of a type, counted from now on.
+
+    The actions that the balancer returned for the last of these events have not been carried out by then.
+    """
     handle = harness.proxy.driver.balancer.handle
     seen: list[api.Event] = []
 
-    def handle_and_call(now_ms: float, event: api.Event) -> list[api.Action]:
+    def handle_and_call_back(now_ms: float, event: api.Event) -> list[api.Action]:
         actions = handle(now_ms, event)
         if isinstance(event, event_type):
             seen.append(event)
-            if len(seen) == number:
+            if len(seen) == event_number:
                 callback()
         return actions
 
-    harness.proxy.driver.balancer.handle = handle_and_call  # type: ignore[method-assign]
+    harness.proxy.driver.balancer.handle = handle_and_call_back  # type: ignore[method-assign]
 
 
-async def wait_until_finished(harness: ProxyHarness, arrived: int) -> None:
-    """Wait until this many requests have arrived and the proxy has finished all of them."""
-    await wait_until(lambda: sum(isinstance(e, api.RequestArrived) for e in harness.events) == arrived)
+async def wait_until_finished(harness: ProxyHarness, request_count: int) -> None:
+    """Wait until `request_count` requests have arrived in total and the proxy has finished all of them."""
+    await wait_until(lambda: sum(isinstance(e, api.RequestArrived) for e in harness.events) == request_count)
     await wait_until(lambda: not harness.proxy.driver.requests)
 
 
 @pytest.mark.parametrize("disconnect_mode", DISCONNECT_MODES)
-@pytest.mark.parametrize(("event_type", "number", "sent"), [
+# Each comment names the attempt that must not be sent.
+@pytest.mark.parametrize(("event_type", "event_number", "expected_sent"), [
     (api.RequestArrived, 1, 0),  # The first attempt of a request.
     (api.RequestArrived, 2, 1),  # The first attempt of the second of two pipelined requests.
     (api.AttemptEnded, 1, 1),  # A retry.
 ])
 def test_no_attempt_is_sent_after_the_client_has_disconnected(
-    disconnect_mode: str, event_type: type, number: int, sent: int, monkeypatch: pytest.MonkeyPatch,
+    disconnect_mode: str, event_type: type, event_number: int, expected_sent: int,
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Without a settling time, the attempt is written to an idle connection at once.
+    # Without the delay before an idle connection is reused, the attempt is written to it at once.
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
 
     async def main() -> None:
@@ -109,11 +114,11 @@
             if event_type is api.AttemptEnded:
                 backend.scripted_responses = [REJECTED]
             client = BlockingClient(harness, disconnect_mode)
-            call_during_event(harness, event_type, number, client.disconnect)
-            request_count = number if event_type is api.RequestArrived else 1
+            call_after_event(harness, event_type, event_number, client.disconnect)
+            request_count = event_number if event_type is api.RequestArrived else 1
             client.send(*[f"r{i}" for i in range(request_count)])
             await wait_until_finished(harness, 1 + request_count)
-            assert (len(backend.requests), backend.connection_count) == (1 + sent, 1)
+            assert (len(backend.requests), backend.connection_count) == (1 + expected_sent, 1)
             assert harness.proxy.driver.open_request_count == 0
         await backend.stop()
     run_with_timeout(main())
@@ -139,12 +144,12 @@
     run_with_timeout(main())
 
 
-def test_no_retry_for_a_client_that_cancels_before_it_has_read_its_previous_response() -> None:
+def test_no_retry_for_a_client_that_half_closes_before_it_has_read_its_previous_response() -> None:
     """Most of the response to the first of two pipelined requests is still in the proxy's write buffer."""
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
-            client = BlockingClient(harness, "cancels")
+            client = BlockingClient(harness, "half_closes")
             await wait_until(lambda: bool(harness.proxy.frontend.connections))
             (connection,) = harness.proxy.frontend.connections
             server_socket = connection.transport.get_extra_info("socket")
--- a/tests/test_concurrency.py
+++ b/tests/test_concurrency.py
@@ -21,11 +21,11 @@
     """The time to connect must not lower limits or a server's traffic, nor distort the expected latency."""
     harness = BalancerHarness()
     harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
-    before = harness.balancer.host_set.zones["a"].limit
+    limit_before = harness.balancer.host_set.zones["a"].limit
     for _ in range(200):
         harness.start_request()
         harness.end_attempt(api.Outcome.OK, after_ms=1000.0, time_to_send_ms=900.0)
-    assert harness.balancer.host_set.zones["a"].limit >= before
+    assert harness.balancer.host_set.zones["a"].limit >= limit_before
     assert harness.balancer.outliers.latency.expected_ms["read"] == pytest.approx(100.0)
     assert {s.relative_latency for s in harness.balancer.host_set.servers.values()} == {1.0}
 
@@ -45,7 +45,7 @@
         harness.feed(api.AttemptEnded(request, 0, api.Outcome.OK, latency_ms, True))
 
 
-def test_calls_beyond_the_limit_of_the_own_zone_spill_over_to_another() -> None:
+def test_calls_beyond_the_limit_of_the_local_zone_spill_over_to_another() -> None:
     harness = BalancerHarness()
     harness.update_endpoints(TWO_ZONE_ENDPOINTS)
     calls_by_zone: dict[str, int] = {}
@@ -87,9 +87,10 @@
 
 
 def test_idle_servers_take_calls_where_many_balancers_share_them() -> None:
-    """The class of least worth must not be refused while all servers are idle (herd+mass, npc-no-slow).
+    """Requests of the class of least worth must not be refused while all servers are idle.
 
-    The zone's limit admits several calls, but the part of each of its many servers is less than one call.
+    The zone's limit admits several calls, but the share of it that each of the many servers gets is less than
+    one call.
     """
     harness = BalancerHarness(make_settings(classes=(HIGH_WORTH, LOW_WORTH), balancer_count=12))
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(30)])
@@ -101,7 +102,7 @@
         harness.end_attempt(api.Outcome.OK, after_ms=50)
 
 
-def test_calls_below_the_first_tier_stay_in_the_own_zone_where_many_balancers_share_it() -> None:
+def test_calls_of_the_second_tier_stay_in_the_local_zone_where_there_are_many_balancers() -> None:
     harness = BalancerHarness(
         make_settings(classes=(HIGH_WORTH, LOW_WORTH), tier=1, tier_count=2, balancer_count=100)
     )
@@ -112,15 +113,19 @@
 
 
 def test_the_initial_limit_admits_two_calls_per_server_and_tier() -> None:
-    """Otherwise calls that wait for the next tier fill a zone that has no load, and it spills over."""
+    """With a lower limit, calls that wait for an upstream tier would use it up while the servers are idle.
+
+    Further calls would then spill over to another zone.
+    """
     harness = BalancerHarness(make_settings(tier_count=2, zone_count=2, balancer_count=2))
     harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    # The limit of the local zone is 16 calls: two for each of four servers and two tiers.
     in_flight = make_unanswered_requests(harness, 14)
     assert sum(n for name, n in in_flight.items() if name.startswith("a")) == 14
 
 
-def test_calls_below_the_first_tier_spill_over_when_the_servers_are_full() -> None:
-    """A zone with few servers for its callers must not be overloaded while the other zones are idle."""
+def test_calls_of_the_second_tier_spill_over_when_the_local_zone_is_at_its_limit() -> None:
+    """A zone with too few servers for its callers must not be overloaded while the other zones are idle."""
     harness = BalancerHarness(make_settings(tier=1, tier_count=2))
     harness.update_endpoints([make_endpoint("a0"), *TWO_ZONE_ENDPOINTS[4:]])
     in_flight = make_unanswered_requests(harness, 16)
@@ -129,9 +134,10 @@
 
 
 def test_late_responses_lower_the_limits_and_fast_ones_raise_them_again() -> None:
-    """Servers that respond late must get fewer calls, early and at the first tier, or they get congested."""
+    """The first tier must limit the calls to servers that respond late, before they become congested."""
     harness = BalancerHarness()
     harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    # A response is late if it takes longer than the target latency, which is half the aim of 1000 ms.
     run_steady_load(harness, 900.0, 4000)
     limits_after_late_responses = sum(z.limit for z in harness.balancer.host_set.zones.values())
     run_steady_load(harness, 50.0, 8000)
@@ -139,8 +145,8 @@
     assert limits_after_fast_responses > 3 * limits_after_late_responses
 
 
-def test_latencies_that_vary_within_the_aim_cause_no_refusals() -> None:
-    """Ordinary latency would look late if it were compared with the lowest latency instead of the aim."""
+def test_latencies_that_vary_within_the_aim_cause_few_refusals() -> None:
+    """Ordinary latencies would count as late if they were compared with the lowest one instead of the aim."""
     harness = BalancerHarness()
     harness.update_endpoints(TWO_ZONE_ENDPOINTS)
     rng = random.Random(5)
@@ -176,26 +182,29 @@
 
 
 def test_a_small_limit_under_overload_prefers_requests_of_high_worth() -> None:
-    """Requests of low worth must not take the only call that the limit admits (incident i6df7a6)."""
-    high_worth = api.RequestClass("high_worth", 1000, 2000, worth=10.0)
-    low_worth = api.RequestClass("low_worth", 1000, 2000, worth=1.0)
-    harness = BalancerHarness(make_settings(classes=(high_worth, low_worth), balancer_count=1000))
+    """Requests of low worth must not take the only call that the limit admits."""
+    worth_10_class = api.RequestClass("high_worth", 1000, 2000, worth=10.0)
+    worth_1_class = api.RequestClass("low_worth", 1000, 2000, worth=1.0)
+    harness = BalancerHarness(make_settings(classes=(worth_10_class, worth_1_class), balancer_count=1000))
     harness.update_endpoints(TWO_ZONE_ENDPOINTS)
     accepted = {"high_worth": 0, "low_worth": 0}
+    # Of these requests, 100 are of high worth and 300 of low worth.
     for i in range(400):
         harness.now_ms += 1
         name = "low_worth" if i % 4 else "high_worth"
         if any(isinstance(a, api.Send) for a in harness.start_request(name)):
             accepted[name] += 1
-            harness.end_attempt(
-                api.Outcome.OK, after_ms=3000
-            )  # Every response is late, so the limit stays low.
+            # Every response is late, so the limit stays low.
+            harness.end_attempt(api.Outcome.OK, after_ms=3000)
     assert accepted["high_worth"] > 80
     assert accepted["low_worth"] < 0.45 * 300
 
 
 def test_a_limit_grows_only_while_it_is_in_use_and_more_slowly_than_it_falls() -> None:
-    """Responses show too high a limit one round trip late, and calls admitted by then congest the servers."""
+    """A limit that is too high shows in the latency only one round trip later.
+
+    By then, the calls that it has admitted congest the servers, so a limit must grow slowly.
+    """
     harness = BalancerHarness()
     harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
     zone = harness.balancer.host_set.zones["a"]
@@ -220,16 +229,21 @@
 @pytest.mark.parametrize("outcome", [
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.NOT_SENT])
 def test_attempts_that_reached_no_server_do_not_raise_the_limit(outcome: api.Outcome) -> None:
+    """Such attempts say nothing about the capacity of the servers.
+
+    The test also checks that failed connections eject a server, and that attempts that were not sent for
+    another reason do not.
+    """
     harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=1)))
     harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
     zone = harness.balancer.host_set.zones["a"]
-    zone.latency_ratio, before = 0.0, zone.limit
+    zone.latency_ratio, limit_before = 0.0, zone.limit
     for _ in range(3):
         harness.start_request()
         zone.in_flight += 50  # The limit is in use.
         harness.end_attempt(outcome, after_ms=1.0)
         zone.in_flight -= 50
-    assert zone.limit == before
+    assert zone.limit == limit_before
     assert all(s.ejections == 0 for s in harness.balancer.host_set.servers.values()) == (
         outcome is api.Outcome.NOT_SENT)
 
@@ -240,10 +254,10 @@
     harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=1)))
     harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
     zone = harness.balancer.host_set.zones["a"]
-    zone.latency_ratio = before = 0.9
+    zone.latency_ratio = ratio_before = 0.9
     harness.start_request()
     harness.end_attempt(outcome, after_ms=1.0)
-    assert zone.latency_ratio == before
+    assert zone.latency_ratio == ratio_before
     harness.start_request()
     harness.end_attempt(outcome, after_ms=1900.0)
-    assert zone.latency_ratio > before
+    assert zone.latency_ratio > ratio_before
--- a/tests/test_host_set.py
+++ b/tests/test_host_set.py
@@ -46,7 +46,8 @@
     calls_while_cold = harness.run_requests(1000)
     harness.now_ms += 10000
     calls_when_warm = harness.run_requests(1000)
-    # The server starts at 0.2 of its capacity and warms up for one of the ten seconds meanwhile.
+    # The 1000 calls take one second of the warm-up of ten seconds. During them, the capacity of the server
+    # rises from 0.2 to 0.28.
     assert calls_while_cold["a0"] / calls_while_cold["a1"] < 0.35
     assert 0.8 < calls_when_warm["a0"] / calls_when_warm["a1"] < 1.25
 
@@ -61,7 +62,7 @@
 
 
 def test_a_cold_server_is_not_overloaded_when_it_is_the_only_server() -> None:
-    """A cold server must not get all the traffic when the rest of the fleet is lost (incident i6df7a6)."""
+    """A cold server must not get all the traffic when all other servers have been removed."""
     harness = BalancerHarness(
         make_settings(
         rules=api.Rules(slow_start_share=0.2, warm_up_ms=10000, poll_interval_ms=10000))
@@ -73,12 +74,14 @@
     for _ in range(2000):  # This is two seconds of the traffic of ten warm servers.
         sent += isinstance(harness.start_request()[0], api.Send)
         harness.end_attempt(api.Outcome.OK, after_ms=1.0, request_finished=True)
-    # One warm server served a tenth of the traffic, which is 200 calls. The cold server has at most 0.4 of
-    # that capacity in this time, and three times as many calls would overload it.
+    # In these two seconds, a warm server would get a tenth of the traffic, which is 200 calls. The cold
+    # server has at most 0.4 of the capacity of a warm one, and three times the calls that fit this capacity
+    # would overload it.
     assert 0 < sent < 3 * 0.4 * 200
 
 
-def test_all_ready_servers_stay_usable_when_all_are_ejected() -> None:
+def test_requests_are_still_sent_after_two_resets_at_the_only_server_of_the_local_zone() -> None:
+    """Outlier detection must not stop the traffic, even if the only server of the local zone fails."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
     for _ in range(2):
@@ -89,24 +92,30 @@
 
 
 @pytest.mark.parametrize(("balancers", "calls_per_s"), [(25, 1.0), (200, 0.3)])
-def test_chance_does_not_raise_the_peak_rate_where_many_balancers_see_few_responses(
+def test_the_peak_response_rate_is_close_to_the_true_rate_where_responses_are_few(
     balancers: int, calls_per_s: float,
 ) -> None:
-    """All balancers together send a cold server a fraction of this rate, so a rate too high overloads it."""
+    """Each of many balancers sees few responses, and their random arrival must not raise the measured peak.
+
+    All balancers together send a cold server a fraction of the peak rate of a warm one, so too high an
+    estimate would overload the cold server.
+    """
     rng, peak_rates = random.Random(5), []
     for seed in range(10):
         harness = BalancerHarness(make_settings(balancer_count=balancers), seed)
         harness.update_endpoints([make_endpoint(f"a{i}") for i in range(10)])
         for _ in range(round(300 * calls_per_s)):
+            # `end_attempt` advances the clock by the other 50 ms.
             harness.now_ms += rng.expovariate(calls_per_s) * 1000.0 - 50.0
             harness.start_request()
             harness.end_attempt(api.Outcome.OK)
         peak_rates.append(harness.balancer.host_set.response_rate.peak)
+    # The true rate of one of the ten servers, in responses per millisecond, is a tenth of the call rate.
     assert 0.6 < sum(peak_rates) / len(peak_rates) / (calls_per_s / 1000.0 / 10) < 1.5
 
 
 def test_a_cold_server_is_not_overloaded_when_it_is_alone_in_its_zone() -> None:
-    """The first cold server of a lost zone must not get all calls of the zone (incident i0f1c09)."""
+    """When a zone has lost all its servers, the first to start again must not get all calls of the zone."""
     harness = BalancerHarness()
     others = [make_endpoint(f"b{i}", "b") for i in range(20)]
     harness.update_endpoints([make_endpoint("a0", started_ms=harness.now_ms), *others])
@@ -115,22 +124,27 @@
     assert sent.count("a0") <= 2
 
 
-def test_ejected_servers_get_no_calls_when_the_usable_servers_are_full() -> None:
-    """Calls must not go to dead servers, even when the live ones are at their limit (incident i0f1c09)."""
+def test_ejected_servers_get_no_calls_when_the_usable_servers_are_at_their_limit() -> None:
+    """Calls must not go to failed servers, even when the healthy ones are at their concurrency limit."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint("a0"), make_endpoint("a1"), make_endpoint("b0", "b")])
     servers = harness.balancer.host_set.servers
     while not (servers["a0"].ejections and servers["a1"].ejections):
         server = expect_single_send(harness.start_request()).endpoint
-        is_alive = server == "b0"
-        harness.end_attempt(api.Outcome.OK if is_alive else api.Outcome.CONNECT_FAILED, request_finished=True)
+        is_healthy = server == "b0"
+        harness.end_attempt(
+            api.Outcome.OK if is_healthy else api.Outcome.CONNECT_FAILED, request_finished=True
+        )
     sent = [a.endpoint for _ in range(50) for a in harness.start_request() if isinstance(a, api.Send)]
     assert set(sent) == {"b0"}
     assert len(sent) < 50
 
 
-def test_a_cold_server_alone_in_its_zone_is_not_overloaded_below_the_first_tier() -> None:
-    """Below the first tier, no limit rejects calls: the surplus goes to another zone, and none is refused."""
+def test_a_cold_server_alone_in_its_zone_is_not_overloaded_by_the_second_tier() -> None:
+    """Only the first tier refuses requests because of a concurrency limit.
+
+    The second tier sends the calls that exceed the capacity of the zone to another zone.
+    """
     harness = BalancerHarness(make_settings(tier=1, tier_count=2, balancer_count=30))
     others = [make_endpoint(f"b{i}", "b") for i in range(20)]
     harness.update_endpoints([make_endpoint("a0", started_ms=harness.now_ms), *others])
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -1,4 +1,4 @@
-"""Hung calls at a server that answers other calls, over loopback sockets."""
+"""Hung calls, which get no response although their server responds to other calls; over loopback sockets."""
 
 from __future__ import annotations
 
@@ -9,31 +9,33 @@
 
 
 def test_a_hung_call_is_retried_and_no_longer_counts_as_in_flight() -> None:
-    """Otherwise calls that are never answered use up the zone's concurrency limit, and their requests fail.
+    """The backend responds to all `order` calls in 20 ms, except for one, to which it never responds.
 
-    The backend answers all `order` calls in 20 ms, except one, which it never answers. Answers to later calls
-    reveal that this call is hung, and its request gets a second attempt.
+    The responses to later calls reveal that this call is hung, and its request gets a second attempt. If hung
+    calls were not detected, they would use up the concurrency limit of the zone, and the requests that they
+    belong to would fail.
     """
     async def main() -> None:
         backend = await Backend().start()
         backend.response_delay_s = 0.02
         async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 3}) as harness:
             balancer = harness.proxy.driver.balancer
-            client, other = await Client.connect(harness.port), await Client.connect(harness.port)
+            client, hung_client = await Client.connect(harness.port), await Client.connect(harness.port)
             for _ in range(30):
                 client.send("order", b"x")
                 assert await client.read_status() == 200
             backend.scripted_responses = [None]
             backend.request_received.clear()
-            request_id = other.send("order", b"hangs")
+            request_id = hung_client.send("order", b"hangs")
             await wait_until(lambda: backend.request_received.is_set())
             while not any(a.is_hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("order", b"x")
                 assert await client.read_status() == 200
-            assert await other.read_status() == 200  # from the second attempt, long before the deadline
-            hung_calls = [m for m in backend.requests if m[2] == b"hangs"]
-            assert len(hung_calls) == 2
-            assert len({m[1][b"idempotency-key"] for m in hung_calls}) == 1
+            # The response comes from the second attempt, long before the deadline.
+            assert await hung_client.read_status() == 200
+            hung_request_attempts = [m for m in backend.requests if m[2] == b"hangs"]
+            assert len(hung_request_attempts) == 2
+            assert len({m[1][b"idempotency-key"] for m in hung_request_attempts}) == 1
             assert [len(r.attempts) for r in balancer.requests.values() if r.id == request_id] == [2]
             assert balancer.host_set.zones["z"].in_flight == 0
             assert balancer.host_set.servers["b"].ejections == 0
@@ -47,18 +49,18 @@
         backend.response_delay_s = 0.02
         async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 3}) as harness:
             balancer = harness.proxy.driver.balancer
-            client, other = await Client.connect(harness.port), await Client.connect(harness.port)
+            client, hung_client = await Client.connect(harness.port), await Client.connect(harness.port)
             for _ in range(30):
                 client.send("pay", b"x")
                 assert await client.read_status() == 200
             backend.scripted_responses = [None]
             backend.request_received.clear()
-            other.send("pay", b"hangs", "1500m")
+            hung_client.send("pay", b"hangs", "1500m")
             await wait_until(lambda: backend.request_received.is_set())
             while not any(a.is_hung for r in balancer.requests.values() for a in r.attempts):
                 client.send("pay", b"x")
                 assert await client.read_status() == 200
-            assert await other.read_status() == 502
+            assert await hung_client.read_status() == 502
             assert len([m for m in backend.requests if m[2] == b"hangs"]) == 1
             assert [e.outcome for e in harness.ended_attempts() if e.outcome is not Outcome.OK] == [
                 Outcome.TIMEOUT
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -1,7 +1,10 @@
-"""How long the endpoint list is usable.
+"""How long the endpoint list is usable, and that nothing is sent once it has expired.
 
-Its age is measured from the time at which discovery is known to have had nothing newer, never from the time
-at which the list was received, processed or loaded.
+The age of a list is measured from the last time at which the list is known to have matched the state of
+discovery. It is never measured from the time at which the list was received, processed or loaded.
+
+A poll is one HTTP request to discovery. A watch is the chain of long polls, each sent as soon as the one
+before has its response, by which discovery reports changes.
 """
 
 from __future__ import annotations
@@ -34,20 +37,24 @@
     wait_until,
 )
 
-# The transit time of an answer from discovery to the proxy. Discovery ends a watch sooner than that if no
-# further poll arrives.
+# The transit time of a response from discovery to the proxy. It is longer than the 0.2 s after which
+# discovery ends a watch if no further poll has arrived.
 TRANSIT_MS = 400.0
 
 
-def test_the_age_of_a_list_starts_at_the_poll_or_if_unchanged_at_the_end_of_the_wait() -> None:
+def test_list_age_is_measured_from_the_poll_and_for_an_unchanged_list_from_the_end_of_the_wait() -> None:
     freshness = ListFreshness()
     assert not freshness.is_usable(0.0)
-    freshness.record_answer(1000.0, 0.0, unchanged=True, now_ms=4400.0)  # queued at discovery
+    # A poll that was sent at 1000 ms, asked for no wait, and spent 3.4 s in the queue of discovery.
+    freshness.record_answer(1000.0, 0.0, unchanged=True, now_ms=4400.0)
     assert freshness.expires_ms == 1000.0 + MAX_AGE_MS
-    freshness.record_answer(4400.0, 1000.0, unchanged=True, now_ms=4900.0)  # answered before the wait ended
+    # The response arrives before the wait of 1000 ms has ended.
+    freshness.record_answer(4400.0, 1000.0, unchanged=True, now_ms=4900.0)
     assert freshness.expires_ms == 4400.0 + MAX_AGE_MS
-    freshness.record_answer(5000.0, 1000.0, unchanged=True, now_ms=9000.0)  # 3 s in transit
+    # The wait ends at 6000 ms, and the response is in transit for 3 s.
+    freshness.record_answer(5000.0, 1000.0, unchanged=True, now_ms=9000.0)
     assert freshness.expires_ms == 6000.0 + MAX_AGE_MS
+    # The response holds changes.
     freshness.record_answer(9000.0, 4000.0, unchanged=False, now_ms=9800.0)
     assert freshness.expires_ms == 9000.0 + MAX_AGE_MS
     assert freshness.is_usable(9000.0 + MAX_AGE_MS - 1.0)
@@ -55,9 +62,13 @@
 
 
 @pytest.mark.parametrize(
-    ("ask_every_ms", "max_age_ms"), [(0.0, MAX_AGE_MS), (1e4, MAX_AGE_MS), (3000.0, 3000.0), (50.0, 2000.0)])
-def test_a_poll_finishes_waiting_before_the_list_expires(ask_every_ms: float, max_age_ms: float) -> None:
-    freshness = ListFreshness(ask_every_ms)
+    ("poll_interval_ms", "max_age_ms"),
+    [(0.0, MAX_AGE_MS), (1e4, MAX_AGE_MS), (3000.0, 3000.0), (50.0, 2000.0)],
+)
+def test_the_wait_of_a_poll_ends_before_the_list_expires(
+    poll_interval_ms: float, max_age_ms: float,
+) -> None:
+    freshness = ListFreshness(poll_interval_ms)
     freshness.mark_current(100_000.0)
     assert freshness.expires_ms == 100_000.0 + max_age_ms
     for age_ms in range(0, int(max_age_ms), 50):
@@ -67,7 +78,11 @@
 
 
 def test_an_unanswered_poll_times_out_before_the_list_expires() -> None:
-    """A poll that may have started a new watch can queue at discovery, so its timeout is longer."""
+    """Discovery queues a poll that opens a new watch, so the timeout of such a poll allows for the queue.
+
+    A poll sent at most 150 ms after the list was last known to be current is certain to continue the watch,
+    and does not need that time.
+    """
     for age_ms in range(0, 4500, 50):
         freshness = ListFreshness()
         freshness.mark_current(0.0)
@@ -83,7 +98,7 @@
     harness = BalancerHarness()
     harness.feed(api.EndpointsListed(
         api.ListKind.FULL, tuple(TWO_ZONE_ENDPOINTS), expires_at_ms=harness.now_ms + 100.0))
-    # nor may it wait longer for a connection
+    # The attempt must not wait for a connection beyond the expiry of the list.
     assert expect_single_send(harness.start_request()).send_within_ms == 100.0
     harness.now_ms += 100.0
     expect_single_refusal(harness.start_request())
@@ -93,14 +108,17 @@
     expect_single_send(harness.start_request())
 
 
-def remaining_s(harness: ProxyHarness) -> float:
-    """Return the time until the current endpoint list expires."""
+def seconds_to_list_expiry(harness: ProxyHarness) -> float:
+    """Return the time in seconds until the current endpoint list expires."""
     return (harness.proxy.watch.freshness.expires_ms - harness.proxy.clock.now()) / 1000.0
 
 
 @asynccontextmanager
-async def world_after_late_answer(mode: str) -> AsyncIterator[ProxyHarness]:
-    """A proxy that received a change `TRANSIT_MS` after its first poll, and whose next poll is in flight."""
+async def proxy_after_delayed_response(mode: str) -> AsyncIterator[ProxyHarness]:
+    """Run a proxy that received a change `TRANSIT_MS` after its first poll, and whose next poll is in flight.
+
+    The change arrives at once; instead, the time at which the first poll was sent is moved back.
+    """
     async with started_proxy(
         [discovery_entry("b", 1)], discovery=mode, contract={"askEveryMs": 1e6}
     ) as harness:
@@ -114,21 +132,23 @@
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_a_late_answer_does_not_make_the_list_fresh_at_its_arrival(mode: str) -> None:
+def test_a_delayed_response_does_not_make_the_list_fresh_at_its_arrival(mode: str) -> None:
     async def main() -> None:
-        async with world_after_late_answer(mode) as harness:
-            assert remaining_s(harness) <= (MAX_AGE_MS - TRANSIT_MS) / 1000.0
+        async with proxy_after_delayed_response(mode) as harness:
+            assert seconds_to_list_expiry(harness) <= (MAX_AGE_MS - TRANSIT_MS) / 1000.0
     run_with_timeout(main())
 
 
-def test_a_poll_rejected_in_the_queue_does_not_prove_that_the_watch_was_active() -> None:
-    """The answer was in transit for longer than a watch lasts, so the next poll may have started a new one.
+def test_a_503_to_a_poll_that_may_have_opened_a_new_watch_does_not_extend_the_expiry() -> None:
+    """The first response takes 400 ms to arrive, and the second poll gets a 503.
 
-    Only a 503 that ends an active watch proves that discovery had nothing newer until then.
+    After 400 ms without a poll, discovery has ended the watch. The second poll may then have opened a new
+    watch, and the 503 may have rejected it while it was queued. Only a 503 that ends an active watch proves
+    that discovery had nothing newer until then, so this one must not extend the expiry of the list.
     """
     async def main() -> None:
-        async with world_after_late_answer("ask") as harness:
-            # the proxy assumes that the watch continues
+        async with proxy_after_delayed_response("ask") as harness:
+            # The second poll asks for a wait, because the proxy assumes that the watch continues.
             assert b"&wait_ms=0 " not in harness.discovery.request_lines[1]
             expires_ms = harness.proxy.watch.freshness.expires_ms
             harness.discovery.responses.put_nowait(make_response(503))
@@ -137,9 +157,13 @@
     run_with_timeout(main())
 
 
-@pytest.mark.parametrize("ends", ["whole", "cut"])
-def test_nothing_is_sent_while_an_answer_is_incomplete(ends: str) -> None:
-    """The proxy is deemed notified of a change once it is written, but may have received only part of it."""
+@pytest.mark.parametrize("response_end", ["complete", "truncated"])
+def test_nothing_is_sent_while_a_response_of_discovery_is_incomplete(response_end: str) -> None:
+    """The proxy has received only part of a response that holds a change, and can't know the change yet.
+
+    It is treated as informed of the change once discovery has written the response. From then on it must act
+    on the change, whether or not the rest has arrived.
+    """
     async def main() -> None:
         removed, kept = await Backend().start(), await Backend().start()
         async with synced_proxy(
@@ -151,8 +175,8 @@
                 "reset": False,
                 "instances": [removed.discovery_entry("removed", lifecycle="removed")],
             }
-            answer = make_response(200, json.dumps(changes).encode())
-            harness.discovery.responses.put_nowait(answer[:-20])
+            response = make_response(200, json.dumps(changes).encode())
+            harness.discovery.responses.put_nowait(response[:-20])
             await wait_until(lambda: harness.proxy.watch.expiry.overdue)
             client = await Client.connect(harness.port)
             for _ in range(12):
@@ -160,13 +184,13 @@
                 assert await client.read_status() == 503
             assert removed.requests == kept.requests == []
             (writer,) = harness.discovery.connections
-            if ends == "whole":
-                writer.write(answer[-20:])
+            if response_end == "complete":
+                writer.write(response[-20:])
             else:
                 writer.transport.abort()
                 await wait_until(lambda: len(harness.discovery.request_lines) == 3)
                 assert harness.proxy.watch.expiry.overdue
-                harness.discovery.responses.put_nowait(answer)
+                harness.discovery.responses.put_nowait(response)
             await wait_until(lambda: not harness.proxy.watch.expiry.overdue)
             for _ in range(12):
                 client.send()
@@ -177,15 +201,21 @@
     run_with_timeout(main())
 
 
-def test_an_agent_that_has_begun_its_answer_is_not_considered_down() -> None:
-    """A list of thousands of endpoints takes longer to arrive than an agent has to respond at all."""
+def test_discovery_that_has_started_its_response_is_not_considered_down() -> None:
+    """A list of thousands of endpoints may take longer to transfer than the timeout for the first byte.
+
+    If discovery were considered down, the proxy would assume that there are no changes, and keep using its
+    list.
+    """
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)], contract={"stopSendingWithinMs": 1e6}) as harness:
             watch = harness.proxy.watch
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             watch._poll_timed_out()
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
-            harness.discovery.responses.put_nowait(b"")  # answers the poll that timed out
+            # The poll that timed out still waits for a response at the fake discovery service, and takes this
+            # empty one. The next poll takes the start of a response.
+            harness.discovery.responses.put_nowait(b"")
             harness.discovery.responses.put_nowait(b"HTTP/1.1 200 OK\r\n")
             await wait_until(lambda: watch.poll is not None and watch.poll.answer_began_ms is not None)
             assert watch.poll is not None
@@ -198,12 +228,15 @@
 @pytest.mark.parametrize(
     "error_number", [errno.ENETUNREACH, errno.ETIMEDOUT, errno.EADDRNOTAVAIL, errno.ECONNREFUSED])
 def test_only_a_refused_connection_shows_that_discovery_is_down(error_number: int) -> None:
-    """While discovery is down, it learns of no changes. Other errors may lie in the network or the proxy."""
+    """While discovery is down, it learns of no changes, so the list does not age.
+
+    Other errors may be due to the network or to the proxy itself.
+    """
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)], discovery="ask") as harness:
             watch = harness.proxy.watch
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
-            harness.discovery.responses.put_nowait(make_response(503))  # ends an active watch
+            harness.discovery.responses.put_nowait(make_response(503))  # Ends an active watch.
             await wait_until(lambda: watch.poll is None)
             expires_ms = watch.freshness.expires_ms
             await asyncio.sleep(0.002)
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -17,7 +17,7 @@
 def end_calls_at(
     harness: BalancerHarness, server: str, outcome: api.Outcome, times: int, class_name: str = "read",
 ) -> None:
-    """Make calls until that many at the server have ended with the outcome; calls elsewhere succeed."""
+    """Make calls until `times` calls at `server` have ended with `outcome`; calls at others succeed."""
     while times:
         at_server = expect_single_send(harness.start_request(class_name)).endpoint == server
         times -= at_server
@@ -35,7 +35,7 @@
 
 @pytest.mark.parametrize("outcome", [
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.RESET, api.Outcome.TIMEOUT])
-def test_one_broken_or_silent_connection_does_not_eject_the_server(outcome: api.Outcome) -> None:
+def test_one_connection_error_or_timeout_does_not_eject_the_server(outcome: api.Outcome) -> None:
     harness = BalancerHarness()
     harness.update_endpoints(TWO_ZONE_ENDPOINTS)
     harness.run_requests(100)
@@ -44,16 +44,19 @@
     assert harness.balancer.host_set.servers["a0"].ejections == 0
 
 
-def test_a_refused_connection_weighs_more_than_a_connect_timeout() -> None:
-    """Connect timeouts at all servers must not empty all zones: they do not show that a process is dead."""
-    for outcome, ejected in ((api.Outcome.CONNECT_FAILED, 3), (api.Outcome.CONNECT_TIMEOUT, 1)):
+def test_refused_connections_eject_more_servers_of_a_zone_than_connect_timeouts() -> None:
+    """A refused connection shows that a process is dead, and a connect timeout does not.
+
+    Here three of four servers fail. Refused connections eject all three, and connect timeouts only one.
+    """
+    for outcome, expected_ejected in ((api.Outcome.CONNECT_FAILED, 3), (api.Outcome.CONNECT_TIMEOUT, 1)):
         harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=1)))
         harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
         harness.run_requests(100)
         servers = harness.balancer.host_set.servers
         for name in list(servers)[:3]:
             end_calls_at(harness, name, outcome, 4)
-        assert sum(s.ejections > 0 for s in servers.values()) == ejected, outcome
+        assert sum(s.ejections > 0 for s in servers.values()) == expected_ejected, outcome
 
 
 def test_consecutive_errors_eject_a_server() -> None:
@@ -63,8 +66,11 @@
     assert set(harness.run_requests(50)) == {"b0", "b1"}
 
 
-def test_errors_of_a_tier_behind_all_servers_do_not_empty_a_zone() -> None:
-    """Errors that all servers return are not their own, and the other zones could not serve all calls."""
+def test_errors_of_an_upstream_tier_do_not_eject_all_servers_of_a_zone() -> None:
+    """When all servers return errors, the fault probably lies in an upstream tier that all of them call.
+
+    If such errors ejected all servers of a zone, the other zones could not serve all calls.
+    """
     harness = BalancerHarness()
     harness.update_endpoints(
         [make_endpoint("a0"), make_endpoint("a1"), make_endpoint("b0", "b"), make_endpoint("b1", "b")]
@@ -76,7 +82,7 @@
 
 
 def test_the_only_failing_server_is_ejected_while_another_is_ejected() -> None:
-    """Otherwise it would attract most calls, because it fails fast and so always has free capacity."""
+    """A failing server attracts most calls if it is not ejected: it fails fast, so it has free capacity."""
     harness = BalancerHarness()
     harness.update_endpoints(
         [make_endpoint(f"a{i}") for i in range(2)] + [make_endpoint(f"b{i}", "b") for i in range(2)]
@@ -93,17 +99,17 @@
     assert servers["a1"].ejections == 0
 
 
-def test_one_error_does_not_eject() -> None:
+def test_one_error_does_not_eject_the_server() -> None:
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
     harness.run_requests(1, api.Outcome.ERROR)
     assert set(harness.run_requests(50)) == {"a0"}
 
 
-def answer_calls(harness: BalancerHarness, calls: int, slow_servers: set[str]) -> set[str]:
-    """Make calls that take 10 ms, or 100 ms at the slow servers; return the servers that received some."""
+def run_successful_calls(harness: BalancerHarness, count: int, slow_servers: set[str]) -> set[str]:
+    """Make calls that take 10 ms, or 100 ms at the slow servers; return the servers that got any of them."""
     sent: set[str] = set()
-    for _ in range(calls):
+    for _ in range(count):
         for action in harness.start_request():
             if isinstance(action, api.Send):
                 sent.add(action.endpoint)
@@ -114,48 +120,48 @@
 
 
 def test_a_slow_server_is_ejected() -> None:
-    """An overloaded server that keeps answering must not keep its share of the calls."""
+    """An overloaded server that still responds, but slowly, must not keep its share of the calls."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
-    answer_calls(harness, 100, set())
-    answer_calls(harness, 60, {"a0"})
-    assert "a0" not in answer_calls(harness, 40, {"a0"})
+    run_successful_calls(harness, 100, set())
+    run_successful_calls(harness, 60, {"a0"})
+    assert "a0" not in run_successful_calls(harness, 40, {"a0"})
 
 
-def test_a_zone_whose_servers_are_all_slow_is_not_emptied() -> None:
+def test_at_most_a_third_of_a_zone_is_ejected_when_all_its_servers_are_slow() -> None:
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
-    answer_calls(harness, 100, set())
+    run_successful_calls(harness, 100, set())
     all_servers = {f"a{i}" for i in range(6)}
     for _ in range(50):
-        answer_calls(harness, 5, all_servers)
+        run_successful_calls(harness, 5, all_servers)
         assert (
             sum(s.ejected_until_ms <= harness.now_ms for s in harness.balancer.host_set.servers.values()) >= 4
         )
 
 
 def test_a_server_that_times_out_for_one_class_is_ejected_for_that_class_alone() -> None:
-    """A server may answer one class and leave the calls of another unanswered."""
+    """A server may respond to the calls of one class while those of another time out."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
     harness.run_requests(100)
-    silent_server = "a0"
-    # As if the call before had failed too.
-    harness.balancer.host_set.servers[silent_server].consecutive_failures = 1
-    end_calls_at(harness, silent_server, api.Outcome.TIMEOUT, 1, "write")
+    unresponsive_server = "a0"
+    # Pretend that the previous call at the server failed too, because one timeout alone does not eject.
+    harness.balancer.host_set.servers[unresponsive_server].consecutive_failures = 1
+    end_calls_at(harness, unresponsive_server, api.Outcome.TIMEOUT, 1, "write")
     sent: dict[str, set[str]] = {"write": set(), "read": set()}
     for i in range(400):
         class_name = ("write", "read")[i % 2]
         sent[class_name].add(expect_single_send(harness.start_request(class_name)).endpoint)
         harness.end_attempt(api.Outcome.OK, after_ms=1.0)
-    assert silent_server not in sent["write"]
-    assert silent_server in sent["read"]
+    assert unresponsive_server not in sent["write"]
+    assert unresponsive_server in sent["read"]
     harness.now_ms += 13000
     sent_later: set[str] = set()
     for _ in range(100):
         sent_later.add(expect_single_send(harness.start_request("write")).endpoint)
         harness.end_attempt(api.Outcome.OK, after_ms=1.0)
-    assert silent_server in sent_later
+    assert unresponsive_server in sent_later
 
 
 def test_a_server_that_fails_one_class_is_ejected_for_that_class_alone() -> None:
@@ -175,8 +181,11 @@
     assert sent["read"] > 30
 
 
-def test_a_class_that_times_out_at_all_servers_is_still_sent() -> None:
-    """Timeouts of a class everywhere must not leave it without a usable server."""
+def test_requests_are_still_sent_after_their_class_has_timed_out_twice() -> None:
+    """Timeouts of a class must not leave it without a usable server.
+
+    Both timeouts are at a0, the server of the local zone.
+    """
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
     for _ in range(2):
@@ -185,10 +194,10 @@
     expect_single_send(harness.start_request("write"))
 
 
-def test_a_server_that_rejects_a_call_is_ejected_for_a_short_time() -> None:
-    """A full server that is sent a new call whenever it finishes one stays full (incident ie6e9de)."""
+def test_a_server_that_rejects_a_call_is_ejected() -> None:
+    """An overloaded server stays overloaded if it is sent a new call whenever it finishes one."""
     harness = BalancerHarness()
     harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
-    full_server = expect_single_send(harness.start_request()).endpoint
+    overloaded_server = expect_single_send(harness.start_request()).endpoint
     harness.end_attempt(api.Outcome.REJECTED, request_finished=True)
-    assert full_server not in harness.run_requests(300)
+    assert overloaded_server not in harness.run_requests(300)
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -1,4 +1,4 @@
-"""Tests over loopback sockets that callers with short deadlines do not cause ejections of servers."""
+"""Calls with short deadlines must not cause ejections of servers; tested over loopback sockets."""
 
 from __future__ import annotations
 
@@ -7,13 +7,16 @@
 from honeywharf import interface as api
 from tests.proxy_harness import Backend, Client, make_response, run_with_timeout, synced_proxy
 
-USUAL_LATENCY_S = 0.25  # far more than the short deadline
+USUAL_LATENCY_S = 0.25  # This is far more than the short deadline.
 SHORT_DEADLINE = "70m"  # 70 ms
 
 
-@pytest.mark.parametrize("inner_tier_fails", [False, True], ids=["timeouts", "errors of the inner tier"])
-def test_short_deadlines_eject_no_server(inner_tier_fails: bool) -> None:
-    """Otherwise each tier would eject healthy servers for calls that none could answer in time."""
+@pytest.mark.parametrize("backends_return_500", [False, True], ids=["timeouts", "500 responses"])
+def test_failures_with_short_deadlines_eject_no_server_and_change_no_limit(backends_return_500: bool) -> None:
+    """If such failures led to ejections, each tier would eject healthy servers that had too little time.
+
+    The calls time out, or the backends return 500, as they do when a call to an upstream tier has timed out.
+    """
     async def main() -> None:
         backends = [await Backend().start() for _ in range(3)]
         async with synced_proxy(
@@ -27,20 +30,20 @@
                 client.send()
                 assert await client.read_status() == 200
             for backend in backends:
-                backend.response_delay_s = 0.01 if inner_tier_fails else USUAL_LATENCY_S
+                backend.response_delay_s = 0.01 if backends_return_500 else USUAL_LATENCY_S
                 backend.default_response = make_response(500)
-            before = {name: zone.limit for name, zone in balancer.host_set.zones.items()}
+            limits_before = {name: zone.limit for name, zone in balancer.host_set.zones.items()}
             for _ in range(12):
                 client.send("read", b"", SHORT_DEADLINE)
                 assert await client.read_status() != 200
             outcomes = [e.outcome for e in harness.ended_attempts()[4:]]
             assert len(outcomes) == 12
-            assert set(outcomes) == {api.Outcome.ERROR if inner_tier_fails else api.Outcome.TIMEOUT}
+            assert set(outcomes) == {api.Outcome.ERROR if backends_return_500 else api.Outcome.TIMEOUT}
             servers = balancer.host_set.servers.values()
             assert [s.ejections for s in servers] == [0, 0, 0]
             assert not any(
                 s.class_ejected_until_ms or s.consecutive_failures or s.anomaly_score for s in servers)
-            assert {name: zone.limit for name, zone in balancer.host_set.zones.items()} == before
+            assert {name: zone.limit for name, zone in balancer.host_set.zones.items()} == limits_before
         for backend in backends:
             await backend.stop()
     run_with_timeout(main())
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -1,4 +1,4 @@
-"""Slow start: what many proxies together send to cold backends, over real sockets and on a manual clock."""
+"""Slow start: how much many proxies together send to cold backends, over real sockets, on a manual clock."""
 
 from __future__ import annotations
 
@@ -20,9 +20,9 @@
     wait_until,
 )
 
-PROXIES = 24
-BACKENDS = 10
-REQUESTS_PER_S = 24.0  # Over all proxies.
+PROXY_COUNT = 24
+BACKEND_COUNT = 10
+REQUESTS_PER_S = 24.0  # The total rate over all proxies.
 WARM_TRAFFIC_S = 40.0
 COLD_TRAFFIC_S = 10.0
 SLOW_START_SHARE = 0.12
@@ -39,22 +39,23 @@
         self.ms = 1.8e12
 
 
-def use_clock(world: ProxyHarness, clock: Clock) -> None:
-    proxy = world.proxy
+def use_clock(harness: ProxyHarness, clock: Clock) -> None:
+    proxy = harness.proxy
     proxy.clock = proxy.driver.clock = proxy.pool.clock = proxy.frontend.clock = proxy.watch.clock = clock
     proxy.watch.expiry.clock = clock
 
 
-@pytest.mark.parametrize("restarted_proxies", [0, PROXIES * 7 // 10])
-def test_all_proxies_together_send_cold_backends_their_fraction_of_the_warm_response_rate(
+@pytest.mark.parametrize("restarted_proxies", [0, PROXY_COUNT * 7 // 10])
+def test_all_proxies_together_stay_within_the_slow_start_share_of_cold_backends(
     restarted_proxies: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """All backends of a zone restart and all proxies learn of it at once; some proxies have restarted too.
+    """All backends restart and all proxies learn of it at once; some proxies have restarted too.
 
-    Random arrival explains at most 2 sqrt(N) + 2 requests beyond the expected N.
+    As requests arrive at random, their number may exceed the expected number N by up to 2 sqrt(N) + 2.
     """
+    # The clock advances fast, but the endpoint lists must not expire, and the connections of the clients must
+    # stay open.
     monkeypatch.setattr(list_freshness, "MAX_AGE_MS", 1e9)
-    # The clock advances fast, but the clients' connections must stay open.
     for name in ("FIRST_BYTE_TIMEOUT_MS", "IDLE_TIMEOUT_MS", "REDUCED_IDLE_TIMEOUT_MS"):
         monkeypatch.setattr(downstream, name, 1e9)
 
@@ -62,51 +63,58 @@
         rng, clock = random.Random(3), ManualClock()
         backend = await Backend().start()
 
-        def rows(started_ms: float) -> list[dict[str, object]]:
-            return [backend.discovery_entry(f"b{i}", startedAtMs=int(started_ms)) for i in range(BACKENDS)]
+        def make_entries(started_ms: float) -> list[dict[str, object]]:
+            return [
+                backend.discovery_entry(f"b{i}", startedAtMs=int(started_ms)) for i in range(BACKEND_COUNT)
+            ]
 
-        worlds: list[ProxyHarness] = []
+        harnesses: list[ProxyHarness] = []
         clients: list[Client] = []
 
         async def add_proxy() -> None:
             discovery = await Discovery().start()
-            worlds.append(ProxyHarness(make_config(
-                discovery.port, rows(0.0), nInstances=PROXIES, tier=1, tiers=["t", "u"],
+            harnesses.append(ProxyHarness(make_config(
+                discovery.port, make_entries(0.0), nInstances=PROXY_COUNT, tier=1, tiers=["t", "u"],
                 contract={"coldShare": SLOW_START_SHARE, "warmAfterMs": WARM_UP_MS},
                 report={"fields": [], "how": "silent"}), discovery))
-            use_clock(worlds[-1], clock)
-            discovery.publish(1, *rows(0.0), reset=True)
-            await worlds[-1].start()
-            await wait_until(lambda: worlds[-1].proxy.watch.initialized)
-            clients.append(await Client.connect(worlds[-1].port))
+            use_clock(harnesses[-1], clock)
+            discovery.publish(1, *make_entries(0.0), reset=True)
+            await harnesses[-1].start()
+            await wait_until(lambda: harnesses[-1].proxy.watch.initialized)
+            clients.append(await Client.connect(harnesses[-1].port))
 
         async def run_traffic(duration_s: float, first_client: int) -> int:
-            """Send requests to `PROXIES` proxies, and return how many reached a backend."""
+            """Send requests from `PROXY_COUNT` clients, each with its own proxy, starting at `first_client`.
+
+            Return how many requests reached a backend.
+            """
             request_count, end_ms = len(backend.requests), clock.ms + duration_s * 1000.0
             while clock.ms < end_ms:
                 clock.ms += rng.expovariate(REQUESTS_PER_S) * 1000.0
-                client = clients[first_client + rng.randrange(PROXIES)]
+                client = clients[first_client + rng.randrange(PROXY_COUNT)]
                 client.send(time_left="60000m")
                 await client.read_status()
             return len(backend.requests) - request_count
 
-        for _ in range(PROXIES):
+        for _ in range(PROXY_COUNT):
             await add_proxy()
         await run_traffic(WARM_TRAFFIC_S, 0)
         for _ in range(restarted_proxies):
             await add_proxy()
-        for world in worlds:
-            world.discovery.publish(2, *rows(clock.ms), reset=True)
-        await wait_until(lambda: all(world.proxy.directory.generation == 2 for world in worlds))
+        for harness in harnesses:
+            harness.discovery.publish(2, *make_entries(clock.ms), reset=True)
+        await wait_until(lambda: all(harness.proxy.directory.generation == 2 for harness in harnesses))
         request_count = await run_traffic(COLD_TRAFFIC_S, restarted_proxies)
-        # Each proxy schedules its first call to a backend by the capacity that the backend has at its start.
+        # The expected number takes the capacity at start-up for the whole time, because each proxy delays its
+        # first call to a backend according to that capacity.
         expected = REQUESTS_PER_S * COLD_TRAFFIC_S * SLOW_START_SHARE
         assert request_count <= expected + 2.0 * math.sqrt(expected) + 2.0
+        # Proxies that have restarted send less, as they have not measured the response rate of warm backends.
         assert request_count > 0 if restarted_proxies else request_count > expected / 3.0
-        for world in worlds:
-            assert world.task is not None
-            world.task.cancel()
-            world.proxy.frontend.stop_listening()
-            await world.discovery.stop()
+        for harness in harnesses:
+            assert harness.task is not None
+            harness.task.cancel()
+            harness.proxy.frontend.stop_listening()
+            await harness.discovery.stop()
         await backend.stop()
     run_with_timeout(main())
--- a/tests/test_stale_list_after_downtime.py
+++ b/tests/test_stale_list_after_downtime.py
@@ -1,6 +1,6 @@
-"""A proxy that was down (restarted, or stopped by a signal) does not use its stale endpoint list.
+"""A proxy process that was restarted, or stopped by a signal, does not use its stale endpoint list.
 
-Discovery does not answer the proxy's polls, so the proxy cannot know which servers were removed meanwhile.
+Discovery does not report changes to the proxy, so the proxy cannot know which servers were removed meanwhile.
 """
 
 from __future__ import annotations
@@ -26,22 +26,23 @@
 from tests.proxy_process import ProxyProcess
 
 SERVER_COUNT = 2351
-# While the proxy is down, every sixth server is removed.
+# One in this many servers is removed before the proxy restarts.
 REMOVED_EVERY = 6
-# Discovery keeps a poll in its queue for this long before it refuses it.
+# Discovery keeps a poll in its queue for this long before it responds with 503.
 QUEUE_TIMEOUT_S = 1.0
-# `stopSendingWithinMs` of the settings, plus the tolerance that the rules allow on real sockets.
+# `stopSendingWithinMs` of the settings, plus a tolerance of 50 ms for real sockets.
 GRACE_S = 0.25 + 0.05
-# A proxy is deemed notified of a change this long after discovery has it, even if no response carried it.
-NOTIFIED_AFTER_S = 6.0
-# Discovery refuses all polls for this long after the proxy has started. A proxy that took its list as fresh
-# when it starts would use it for 6 s.
+# A proxy is treated as informed of a change this long after discovery has it: from then on it must act on the
+# change, whether or not a response has arrived.
+INFORMED_AFTER_S = 6.0
+# Discovery refuses all polls for this long after the proxy has started. A proxy that treated its cached list
+# as fresh at start-up would use it for longer, for 6 s.
 OBSERVED_S = 3.6
 CLIENT_COUNT = 4
 
 
 class OverloadedDiscovery(Discovery):
-    """Keeps each poll in a queue and then refuses it; once `accepts_polls` is set, it sends the changes."""
+    """Queues each poll and then refuses it with 503; once `accepts_polls` is set, it sends the changes."""
 
     def __init__(self, changes: list[dict[str, Any]]) -> None:
         super().__init__()
@@ -66,7 +67,7 @@
 
 
 async def send_until(stop: asyncio.Event, port: int) -> None:
-    """Send one request after another; each has to get a response, with status 200 or 503."""
+    """Send one request after another until `stop` is set; each has to get a response of status 200 or 503."""
     client = await Client.connect(port)
     while not stop.is_set():
         client.send()
@@ -78,10 +79,11 @@
 def test_nothing_is_sent_to_servers_removed_before_the_proxy_restarted(
     removed_before_s: float, tmp_path: Path,
 ) -> None:
-    """The proxy is deemed notified of the removal 6 s after discovery has it, whenever the process started.
+    """The endpoint list that the new process loads still contains the removed servers, and has no known age.
 
-    Discovery has to send thousands of entries to other proxies, so the polls of the new process wait in its
-    queue and are refused. The list from before the restart lacks the removal, and its age is unknown.
+    Discovery is busy with the thousands of entries that it sends to other proxies, so the polls of the new
+    process wait in its queue and are refused. The proxy is treated as informed of the removal 6 s after
+    discovery has it, regardless of when the process started.
     """
     async def main() -> None:
         remaining, removed = await Backend().start(), await Backend().start()
@@ -105,17 +107,18 @@
             assert len(discovery.request_lines) >= 2  # The proxy retries its poll.
             discovery.accepts_polls.set()
             await wait_until(lambda: discovery.changes_sent)
-            # Once discovery has answered, the proxy sends requests to the remaining servers.
+            # After the response of discovery, the proxy sends requests to the remaining servers.
             request_count = len(remaining.requests)
             await wait_until(lambda: len(remaining.requests) >= request_count + 50)
             stop.set()
             await asyncio.gather(*clients)
-        notified_s = max(started_s, removed_s + NOTIFIED_AFTER_S)
-        late_s = [
-            round(at_s - notified_s, 2) for at_s in removed.request_times if at_s > notified_s + GRACE_S
+        informed_s = max(started_s, removed_s + INFORMED_AFTER_S)
+        delays_s = [
+            round(at_s - informed_s, 2) for at_s in removed.request_times if at_s > informed_s + GRACE_S
         ]
-        assert not late_s, (
-            f"{len(late_s)} requests to removed servers, the first {late_s[0]} s after the notification")
+        assert not delays_s, (
+            f"{len(delays_s)} requests to removed servers, the first {delays_s[0]} s after the time from "
+            "which the proxy is treated as informed of the removal")
         for backend in (remaining, removed):
             await backend.stop()
         await discovery.stop()
@@ -123,13 +126,13 @@
 
 
 def test_nothing_is_sent_to_servers_removed_while_the_process_was_stopped(tmp_path: Path) -> None:
-    """SIGSTOP stops the process until its list has expired; when it resumes, a request is waiting."""
+    """SIGSTOP stops the process until its list has expired; when it resumes, a request is already waiting."""
     async def main() -> None:
         removed, discovery = await Backend().start(), await Discovery().start()
         entries = [removed.discovery_entry(f"s-{i:08x}") for i in range(SERVER_COUNT)]
         known = {"generation": 1, "reset": True, "instances": entries}
-        # The first poll returns that nothing has changed. The next one never returns, so the proxy does not
-        # learn of the removal.
+        # Discovery responds to the first poll with no changes, and never to the second one, so the proxy does
+        # not learn of the removal.
         discovery.publish(1)
         address = f"127.0.0.1:{discovery.port}"
         with ProxyProcess(
@@ -140,9 +143,9 @@
             client.send()
             assert await client.read_status() == 200
             proxy.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(NOTIFIED_AFTER_S + GRACE_S)
-            # The request uses a new connection, because the proxy may close one that has been idle for 6 s
-            # while the request is on its way.
+            await asyncio.sleep(INFORMED_AFTER_S + GRACE_S)
+            # The request uses a new connection, because the first one has been idle for 6 s, and the proxy
+            # may close it while the request is on its way.
             client = await Client.connect(proxy.port)
             client.send()
             proxy.process.send_signal(signal.SIGCONT)
