--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -177,7 +177,7 @@
             }
             response = make_response(200, json.dumps(changes).encode())
             harness.discovery.responses.put_nowait(response[:-20])
-            await wait_until(lambda: harness.proxy.watch.expiry.overdue)
+            await wait_until(lambda: harness.proxy.watch.expiry.expired)
             client = await Client.connect(harness.port)
             for _ in range(12):
                 client.send()
@@ -189,9 +189,9 @@
             else:
                 writer.transport.abort()
                 await wait_until(lambda: len(harness.discovery.request_lines) == 3)
-                assert harness.proxy.watch.expiry.overdue
+                assert harness.proxy.watch.expiry.expired
                 harness.discovery.responses.put_nowait(response)
-            await wait_until(lambda: not harness.proxy.watch.expiry.overdue)
+            await wait_until(lambda: not harness.proxy.watch.expiry.expired)
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 200
@@ -217,11 +217,12 @@
             # empty one. The next poll takes the start of a response.
             harness.discovery.responses.put_nowait(b"")
             harness.discovery.responses.put_nowait(b"HTTP/1.1 200 OK\r\n")
-            await wait_until(lambda: watch.poll is not None and watch.poll.answer_began_ms is not None)
+            await wait_until(lambda: (
+                watch.poll is not None and watch.poll.answer_started_ms is not None))
             assert watch.poll is not None
             watch.poll.sent_ms -= 1000.0
-            watch._expiry_reached()
-            assert watch.expiry.overdue
+            watch._on_expiry_due()
+            assert watch.expiry.expired
     run_with_timeout(main())
 
 
