--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -1,4 +1,4 @@
-"""One backend's address and the connections to it; each carries one call at a time, with one outcome."""
+"""A backend's address and connection state, and a connection, which carries one call at a time."""
 
 from __future__ import annotations
 
@@ -17,222 +17,252 @@
 from honeywharf.net.clock import Clock
 from honeywharf.net.config import Address
 
-IDLE_PART = 0.8  # of the shortest time after which a backend was seen to close one
-IDLE_LEAST_MS = 200.0  # under that it closes after an answer, not as idle
-# Between the pieces of an answer, and from its first to its last: a long one comes in many.
-# Guards against a head or a body that never ends, which would hold the attempt until the deadline.
-ANSWER_S = 0.5
-WHOLE_ANSWER_S = 2.0
-ANSWERS_BYTES = 8 * 1024 * 1024  # of all answers that have begun and not ended: guards the memory
-
-O = api.Outcome  # noqa: E741
-# An answer that can't be read: the backend is up and has run the request. Guards against taking it for a
-# broken connection, which the module takes for the end of the backend's process.
-UNREADABLE_ANSWER = O.ERROR
-
-
-def outcome_of(response: http1.Response) -> api.Outcome:
-    """What a whole answer says of the attempt."""
+# A connection stays idle for at most this share of the shortest idle time after which its backend was
+# observed to close a connection.
+OBSERVED_IDLE_FACTOR = 0.8
+# A backend that closes a connection sooner than this closes it because the response is complete, and not
+# because the connection is idle.
+MIN_OBSERVED_IDLE_MS = 200.0
+# These limit the time between two reads of a response, and from its first read to its end; a long response
+# arrives in many reads. Otherwise a response head or body that never ends would hold the attempt until the
+# deadline of the request.
+RESPONSE_READ_TIMEOUT_S = 0.5
+RESPONSE_TIMEOUT_S = 2.0
+# This limits the memory that all incomplete responses occupy together.
+MAX_BUFFERED_BYTES = 8 * 1024 * 1024
+
+Outcome = api.Outcome
+# The outcome of a response that is malformed, incomplete or too large. The backend is up and has executed the
+# request. RESET would be wrong, because the decision module takes a broken connection for the end of the
+# backend's process.
+UNREADABLE_RESPONSE_OUTCOME = Outcome.ERROR
+
+
+def outcome_of_response(response: http1.Response) -> api.Outcome:
+    """Return the outcome of an attempt that received a complete response."""
     if response.status == 200:
-        return O.OK
+        return Outcome.OK
     if response.status in (503, 504) and response.unprocessed:
-        return O.REJECTED
-    return O.ERROR
+        return Outcome.REJECTED
+    return Outcome.ERROR
+
 
-class Owner(Protocol):
-    """What a connection needs of the pool that it belongs to."""
+class ConnectionOwner(Protocol):
+    """The part of the connection pool that a connection uses."""
 
     loop: asyncio.AbstractEventLoop
     clock: Clock
-    bytes_read: int  # of answers that have begun and not ended
+    buffered_bytes: int  # of all responses that are incomplete
 
     def release(self, connection: Connection) -> None:
         """Return the connection to the pool for the next call."""
 
     def connection_closed(self, connection: Connection) -> None:
-        """Remove a closed connection from the count."""
+        """Remove a closed connection from the pool."""
 
     def fail_unsent(self, call: Call, outcome: api.Outcome) -> None:
-        """End a call of which nothing was written."""
+        """End a call of which no byte has been written."""
 
 
 @dataclass(slots=True, eq=False)
 class Backend:
-    """One address that discovery has named."""
+    """An address from the endpoint list, with its idle connections and the calls that wait for one."""
 
     address: Address
     started_ms: float | None
-    host: bytes
-    accepts_calls: bool = True  # else its connections are not kept
-    idle_ms: float = float("inf")  # what it was seen to close idle connections after, less a margin
-    idle: deque[Connection] = field(default_factory=deque)  # the last used at the right
-    waiting: dict[Call, asyncio.TimerHandle] = field(default_factory=dict)  # the oldest first
-    settling: asyncio.TimerHandle | None = None  # while calls wait for a kept connection to settle
-    dials: set[Dial] = field(default_factory=set)
-    late_in_a_row: int = 0  # dials since one came up in time
+    host: bytes  # the value of the Host header
+    accepts_calls: bool = True  # if not, its connections are closed after use
+    # A little less than the idle time after which the backend was observed to close connections.
+    max_idle_ms: float = float("inf")
+    # The most recently used connection is the last one.
+    idle_connections: deque[Connection] = field(default_factory=deque)
+    # The calls that wait for a connection, the oldest first, with the timers of their connect timeouts.
+    waiting: dict[Call, asyncio.TimerHandle] = field(default_factory=dict)
+    # Runs while calls wait until an idle connection may be reused.
+    reuse_timer: asyncio.TimerHandle | None = None
+    pending_connections: set[PendingConnection] = field(default_factory=set)
+    # The number of slow connects since the last one that was established in time.
+    consecutive_slow_connects: int = 0
 
 
 @dataclass(slots=True, eq=False)
-class Dial:
-    """A connection that is coming up."""
+class PendingConnection:
+    """A connection that is not established yet."""
 
     started_ms: float
-    late: bool = False
-    timer: asyncio.TimerHandle | None = None  # until it is late
+    slow: bool = False
+    slow_timer: asyncio.TimerHandle | None = None  # sets `slow` when it fires
 
 
 class Connection(asyncio.Protocol):
-    """One connection to a backend. It carries one call at a time, and writes each call once."""
+    """A connection to a backend. It carries one call at a time, and writes each call at most once."""
 
     __slots__ = (
-        "answered_ms", "backend", "begun_ms", "bytes_read", "call", "closed", "descriptor", "heard_ms",
-        "idle_since", "pool", "reader", "timer", "transport", "unsent",
+        "backend", "buffered_bytes", "call", "closed", "file_descriptor", "idle_since_ms", "last_read_ms",
+        "last_response_ms", "pool", "reader", "response_started_ms", "response_timer", "transport", "unsent",
     )
 
-    def __init__(self, pool: Owner, backend: Backend) -> None:
+    def __init__(self, pool: ConnectionOwner, backend: Backend) -> None:
         self.pool, self.backend = pool, backend
         self.call: Call | None = None
         self.reader = http1.ResponseReader()
+        # `unsent` is set while a part of the request is not written to the socket yet.
         self.unsent = self.closed = False
-        self.idle_since = self.answered_ms = 0.0  # its last whole answer came then: never, where it is new
-        self.descriptor = -1
-        self.timer: asyncio.TimerHandle | None = None  # while an answer has begun and not ended
-        self.begun_ms = self.heard_ms = 0.0  # when its first and its latest piece came
-        self.bytes_read = 0  # of it
+        # The second is the time of the last complete response, or 0 before the first response.
+        self.idle_since_ms = self.last_response_ms = 0.0
+        self.file_descriptor = -1
+        # These four describe the current response while it is incomplete.
+        self.response_timer: asyncio.TimerHandle | None = None
+        self.response_started_ms = self.last_read_ms = 0.0
+        self.buffered_bytes = 0
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Ask to be told whenever a write does not leave at once."""
+        """Set up a newly established connection.
+
+        With a high-water mark of 0, the loop calls `pause_writing` whenever a write is not sent at once.
+        """
         self.transport = cast(asyncio.Transport, transport)
         self.transport.set_write_buffer_limits(high=0)
-        self.idle_since = self.pool.clock.now()
-        self.descriptor = self.transport.get_extra_info("socket").fileno()
+        self.idle_since_ms = self.pool.clock.now()
+        self.file_descriptor = self.transport.get_extra_info("socket").fileno()
 
     def pause_writing(self) -> None:
-        """Some of the request has not left yet: a break now proves that it never ran."""
+        """Part of the request is not written yet: if the connection is lost now, it was not executed."""
         self.unsent = True
 
     def resume_writing(self) -> None:
-        """All of the request has left."""
+        """The whole request has been written to the socket."""
         self.unsent = False
 
-    def carry(self, call: Call) -> None:
-        """Write the whole request, in one write, if it may still be sent."""
+    def send_call(self, call: Call) -> None:
+        """Write the whole request with a single `write`, if it may still be sent."""
         if not call.may_send():
             self.pool.release(self)
-            # Its end never comes from within `start`.
-            self.pool.loop.call_soon(self.pool.fail_unsent, call, O.NOT_SENT)
+            # The call must not end from within `ConnectionPool.start`.
+            self.pool.loop.call_soon(self.pool.fail_unsent, call, Outcome.NOT_SENT)
             return
         self.call, call.connection = call, self
         call.written_ms = now = self.pool.clock.now()
-        left = b"" if call.probe else http1.time_left(call.until_ms - now)
+        time_left_header = b"" if call.probe else http1.time_left(call.until_ms - now)
         host = b"Host: %b\r\n" % self.backend.host if call.probe else b""
-        self.transport.write(b"%b%b%b\r\n%b" % (call.head, host, left, call.body))
+        self.transport.write(b"%b%b%b\r\n%b" % (call.head, host, time_left_header, call.body))
         if self.transport.is_closing():
-            # Guards against taking a write that failed for one that left: nothing of it did.
+            # The write failed at once, so nothing was sent.
             self.unsent = True
 
     def data_received(self, data: bytes) -> None:
-        """Read the answer; bytes that nobody asked for end the connection."""
+        """Feed the response reader; unsolicited bytes close the connection."""
         if self.closed:
             return
         if self.call is None:
-            self.drop()
+            self.close()
             return
         try:
             response = self.reader.feed(data)
         except http1.MalformedError:
-            self._end(UNREADABLE_ANSWER, None)
+            self._finish_call(UNREADABLE_RESPONSE_OUTCOME, None)
             return
         if response is not None:
             reader = self.reader
             reusable = response.keep and reader.idle and not reader.surplus and not self.unsent
-            self._end(outcome_of(response), response, reusable=reusable)
+            self._finish_call(outcome_of_response(response), response, reusable=reusable)
             return
-        self.heard_ms = self.pool.clock.now()
-        self.bytes_read += len(data)
-        self.pool.bytes_read += len(data)
-        if self.pool.bytes_read > ANSWERS_BYTES:
-            self._end(UNREADABLE_ANSWER, None)
-        elif self.timer is None:
-            self.begun_ms = self.heard_ms
-            self.timer = self.pool.loop.call_later(ANSWER_S, self._stalled)
-
-    def _stalled(self) -> None:
-        """Nothing more of the answer has come for long, or it takes too long as a whole."""
-        self.timer = None
-        due_ms = min(self.heard_ms + ANSWER_S * 1000.0, self.begun_ms + WHOLE_ANSWER_S * 1000.0)
-        left_s = (due_ms - self.pool.clock.now()) / 1000.0
-        if left_s > 0.001:
-            self.timer = self.pool.loop.call_later(left_s, self._stalled)
+        self.last_read_ms = self.pool.clock.now()
+        self.buffered_bytes += len(data)
+        self.pool.buffered_bytes += len(data)
+        if self.pool.buffered_bytes > MAX_BUFFERED_BYTES:
+            self._finish_call(UNREADABLE_RESPONSE_OUTCOME, None)
+        elif self.response_timer is None:
+            self.response_started_ms = self.last_read_ms
+            self.response_timer = self.pool.loop.call_later(
+                RESPONSE_READ_TIMEOUT_S, self._check_response_timeout)
+
+    def _check_response_timeout(self) -> None:
+        """Fail the call if its response has exceeded a timeout; otherwise check again when one expires."""
+        self.response_timer = None
+        due_ms = min(
+            self.last_read_ms + RESPONSE_READ_TIMEOUT_S * 1000.0,
+            self.response_started_ms + RESPONSE_TIMEOUT_S * 1000.0,
+        )
+        remaining_s = (due_ms - self.pool.clock.now()) / 1000.0
+        if remaining_s > 0.001:
+            self.response_timer = self.pool.loop.call_later(remaining_s, self._check_response_timeout)
         else:
-            self._end(UNREADABLE_ANSWER, None)
+            self._finish_call(UNREADABLE_RESPONSE_OUTCOME, None)
 
-    def _disarm(self) -> None:
-        self.pool.bytes_read -= self.bytes_read
-        self.bytes_read = 0
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+    def _reset_response_tracking(self) -> None:
+        self.pool.buffered_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
+        if self.response_timer is not None:
+            self.response_timer.cancel()
+            self.response_timer = None
 
-    def stale(self) -> bool:
-        """Whether something has come on the idle connection that the loop has not read yet.
+    def has_unread_input(self) -> bool:
+        """Return whether the idle connection's socket holds input that the event loop has not read yet.
 
-        Guards against taking bytes that came before a request for its answer.
+        Bytes that arrived before a request was written would otherwise be taken for its response.
         """
         poll = select.poll()
-        poll.register(self.descriptor, select.POLLIN)
+        poll.register(self.file_descriptor, select.POLLIN)
         return bool(poll.poll(0))
 
     def eof_received(self) -> bool:
-        """The backend will say no more."""
+        """End the call or close the idle connection, because the backend has closed its side.
+
+        For an idle connection, this also updates the backend's `max_idle_ms`.
+        """
         if self.call is not None:
-            self._end(O.CONNECT_FAILED if self.unsent else O.RESET, None)
+            self._finish_call(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET, None)
         elif not self.closed:
-            # Guards against writing to a connection in the moment in which the backend closes it as idle,
-            # which it may do sooner than the settings say: the request would end as a reset.
-            idle_for = self.pool.clock.now() - self.idle_since
-            if idle_for > IDLE_LEAST_MS:
-                self.backend.idle_ms = max(IDLE_LEAST_MS, min(self.backend.idle_ms, IDLE_PART * idle_for))
-            self.drop()
+            # The backend may close idle connections sooner than the settings say. A request that is written
+            # at the moment when it does so would end as a reset.
+            idle_ms = self.pool.clock.now() - self.idle_since_ms
+            if idle_ms > MIN_OBSERVED_IDLE_MS:
+                self.backend.max_idle_ms = max(
+                    MIN_OBSERVED_IDLE_MS, min(self.backend.max_idle_ms, OBSERVED_IDLE_FACTOR * idle_ms))
+            self.close()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection broke, or was closed."""
+        """The connection was lost or closed."""
         if not self.closed:
-            self._end(O.CONNECT_FAILED if self.unsent else O.RESET, None)
+            self._finish_call(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET, None)
 
-    def _end(self, outcome: api.Outcome, response: http1.Response | None, *, reusable: bool = False) -> None:
+    def _finish_call(
+        self, outcome: api.Outcome, response: http1.Response | None, *, reusable: bool = False,
+    ) -> None:
         call, self.call = self.call, None
-        self._disarm()
+        self._reset_response_tracking()
         if reusable:
-            self.idle_since = self.answered_ms = self.pool.clock.now()
+            self.idle_since_ms = self.last_response_ms = self.pool.clock.now()
             self.pool.release(self)
         else:
-            self.drop()
+            self.close()
         if call is not None:
             call.connection = None
             call.ended(outcome, response)
 
-    def drop(self) -> None:
-        """Close at once; what was not written stays unwritten."""
+    def close(self) -> None:
+        """Close the connection at once and discard what is not written yet."""
         if not self.closed:
-            self.leave_pool()
+            self.remove_from_pool()
             if self.unsent and not self.transport.is_closing():
-                self._end_sending()
+                self._shutdown_socket()
             self.transport.abort()
 
-    def _end_sending(self) -> None:
-        """Guards against the rest of a request that leaves as the connection closes.
+    def _shutdown_socket(self) -> None:
+        """Shut down the socket, so that the rest of the request cannot be sent any more.
 
-        The loop tries once more to write what it holds then, and the call counts as one that never ran.
+        When a connection closes, the event loop tries once more to write its buffer. The backend could then
+        execute a request whose outcome says that it was not executed.
         """
-        with socket.socket(fileno=os.dup(self.descriptor)) as same, suppress(OSError):
-            same.shutdown(socket.SHUT_RDWR)  # an error: the backend has ended the connection already
+        with socket.socket(fileno=os.dup(self.file_descriptor)) as duplicate, suppress(OSError):
+            duplicate.shutdown(socket.SHUT_RDWR)  # fails if the backend has already closed the connection
 
-    def leave_pool(self) -> None:
-        """Leave the pool, once; nothing that still comes is looked at."""
+    def remove_from_pool(self) -> None:
+        """Remove the connection from the pool. Call this only once; later input is ignored."""
         self.closed = True
-        self._disarm()
+        self._reset_response_tracking()
         self.reader.close()
         self.pool.connection_closed(self)
--- a/honeywharf/net/connect_times.py
+++ b/honeywharf/net/connect_times.py
@@ -1,35 +1,38 @@
-"""How long connections take to come up, as one proxy has seen it."""
+"""Recent connect times, and the time after which a connection counts as slow to connect."""
 
 from __future__ import annotations
 
 import statistics
 from collections import deque
 
-SAMPLES = 32  # recent connections: enough for a quartile, few enough to follow a change within seconds
-# Times the quicker quartile of the recent connect times: past that a connection is late. Ordinary connect
-# times spread by less, and the quartile stays ordinary while up to three in four connections are late.
-LATE_AFTER = 4.0
-# No connection is late before this: the loop may notice one so much later than the system. It is the least
-# delay that RFC 8305 (section 5) allows between two attempts at a connection.
+# Enough recent connections for a quartile, and few enough to follow a change within seconds.
+MAX_SAMPLES = 32
+# A connection counts as slow after this multiple of the lower quartile of the recent connect times. Normal
+# connect times vary by less, and the quartile stays normal while up to three in four connections are slow.
+SLOW_THRESHOLD_FACTOR = 4.0
+# No connection counts as slow before this, because the event loop may notice an established connection this
+# much later than the operating system does. It is also the minimum delay that RFC 8305 (section 5) allows
+# between two connection attempts.
 MIN_SLOW_THRESHOLD_MS = 10.0
 
 
 class ConnectTimes:
-    """The recent connect times over all backends, in ms; one that did not come up counts as the time-out.
+    """The recent connect times over all backends, in ms; a connect that timed out counts with its timeout.
 
-    Over all backends together, as a proxy with little traffic opens few connections to each.
+    They are taken over all backends together because a proxy with little traffic opens few connections to
+    each one.
     """
 
     def __init__(self) -> None:
-        self._recent: deque[float] = deque(maxlen=SAMPLES)
+        self._recent: deque[float] = deque(maxlen=MAX_SAMPLES)
 
     def add(self, elapsed_ms: float) -> None:
-        """Take one connection's time into account."""
+        """Record one connect time."""
         self._recent.append(elapsed_ms)
 
-    def patience_ms(self) -> float:
-        """How long a connection may take before it counts as late."""
+    def slow_threshold_ms(self) -> float:
+        """Return how long a connection may take before it counts as slow."""
         if len(self._recent) < 2:
             return MIN_SLOW_THRESHOLD_MS
         quartile = statistics.quantiles(self._recent, n=4)[0]
-        return max(MIN_SLOW_THRESHOLD_MS, LATE_AFTER * quartile)
+        return max(MIN_SLOW_THRESHOLD_MS, SLOW_THRESHOLD_FACTOR * quartile)
--- a/honeywharf/net/connection_pool.py
+++ b/honeywharf/net/connection_pool.py
@@ -1,4 +1,4 @@
-"""All connections to all backends, within one bound: which of them carries a call, or that a new one does."""
+"""The pool of connections to all backends: picks the connection for each call, and opens new ones."""
 
 from __future__ import annotations
 
@@ -6,66 +6,73 @@
 import errno
 
 from honeywharf import interface as api
-from honeywharf.net.backend import Backend, Connection, Dial
+from honeywharf.net.backend import Backend, Connection, PendingConnection
 from honeywharf.net.calls import Call
 from honeywharf.net.clock import TIMER_EARLY_MS, Clock
 from honeywharf.net.config import Address
 from honeywharf.net.connect_times import ConnectTimes
 
-# A backend closes an idle connection at the latest after the time in the settings, counted from when it wrote
-# its last byte: a connection nearer to that than this is closed, as a request on it would end as a reset.
-IDLE_MARGIN_MS = 750.0
-# A connection is not used again so soon after its answer: a backend may send a second one some milliseconds
-# late, and it would be taken for the next request's. Costs a busy pool about one connection more.
+# A backend closes an idle connection at the latest after the idle timeout in the settings, counted from its
+# last write. The pool closes a connection this long before that, because a request that is sent on it
+# then could end in a reset.
+IDLE_TIMEOUT_MARGIN_MS = 750.0
+# A connection is not reused until this long after its last response. A backend may send a duplicate response
+# some milliseconds later, which would be taken for the response to the next request. The delay costs a busy
+# pool about one additional connection.
 REUSE_DELAY_MS = 25.0
-SWEEP_S = 0.5
-MAX_DOUBLINGS = 10  # of the patience with a connection: far over any time-out by then
-OWN_FAULTS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
+IDLE_SWEEP_INTERVAL_S = 0.5
+# After this many doublings, the slow-connect threshold is far above any connect timeout.
+MAX_SLOW_THRESHOLD_DOUBLINGS = 10
+# The connect errors that mean that this machine lacks a resource, and say nothing about the backend.
+LOCAL_RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL)
 
 
 class ConnectionPool:
-    """All connections to all backends, within one bound."""
+    """The connections to all backends, up to a maximum number of connections in total."""
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, limits: api.Limits, max_connections: int,
     ) -> None:
         self.loop, self.clock, self.max_connections = loop, clock, max_connections
         self.connect_timeout_s = (limits.connect_timeout_ms or 1000.0) / 1000.0
-        self.idle_ms = (
-            max(0.0, limits.idle_timeout_ms - IDLE_MARGIN_MS) if limits.idle_timeout_ms else 60000.0)
+        self.max_idle_ms = (
+            max(0.0, limits.idle_timeout_ms - IDLE_TIMEOUT_MARGIN_MS) if limits.idle_timeout_ms else 60000.0)
         self.backends: dict[str, Backend] = {}
-        self.count = 0  # connections open or opening
-        self.handshakes = 0
-        self.bytes_read = 0  # of answers that have begun and not ended
-        self.slow_connect_count = 0  # connections that did not come up in time
+        self.total_connections = 0  # established or pending
+        self.handshakes = 0  # connects started
+        self.buffered_bytes = 0  # of all responses that are incomplete
+        self.slow_connect_count = 0  # connects that exceeded the slow-connect threshold
         self.connect_times = ConnectTimes()
         self.connect_tasks: set[asyncio.Task[None]] = set()
-        loop.call_later(SWEEP_S, self._sweep)
+        loop.call_later(IDLE_SWEEP_INTERVAL_S, self._close_expired_connections)
 
-    # The list.
+    # Endpoints.
 
     def set_endpoint(
         self, endpoint: str, address: Address, started_ms: float | None, *, accepts_calls: bool,
     ) -> None:
-        """Add or update an endpoint; a changed address or start time closes its idle connections."""
-        known = self.backends.get(endpoint)
-        if known is None or known.address != address or known.started_ms != started_ms:
-            if known is not None:
-                self._retire(known)
+        """Add or update an endpoint.
+
+        If its address or start time has changed, its idle connections are closed and its waiting calls end.
+        """
+        backend = self.backends.get(endpoint)
+        if backend is None or backend.address != address or backend.started_ms != started_ms:
+            if backend is not None:
+                self._stop_sending(backend)
             host = f"{address[0]}:{address[1]}"
-            self.backends[endpoint] = known = Backend(address, started_ms, host.encode())
-        known.accepts_calls = accepts_calls
+            self.backends[endpoint] = backend = Backend(address, started_ms, host.encode())
+        backend.accepts_calls = accepts_calls
         if not accepts_calls:
-            self._retire(known)
+            self._stop_sending(backend)
 
     def remove_endpoint(self, endpoint: str) -> None:
-        """Remove an endpoint: nothing can be sent to it any more."""
+        """Remove an endpoint, so that nothing is sent to it any more."""
         backend = self.backends.pop(endpoint, None)
         if backend is not None:
-            self._retire(backend)
+            self._stop_sending(backend)
 
     def has_endpoint(self, endpoint: str) -> bool:
-        """Whether a list has named the endpoint."""
+        """Return whether the endpoint is in the current endpoint list."""
         return endpoint in self.backends
 
     def close_idle(self, endpoint: str) -> None:
@@ -74,218 +81,237 @@
         if backend is not None:
             self._close_idle(backend)
 
-    def _retire(self, backend: Backend) -> None:
-        """Stop sending on a backend's connections, those still being opened included."""
+    def _stop_sending(self, backend: Backend) -> None:
+        """Stop sending calls to a backend, also on its pending connections."""
         backend.accepts_calls = False
-        self._fail_all_waiting(backend)
+        self._fail_all_waiting_calls(backend)
         self._close_idle(backend)
 
     def _close_idle(self, backend: Backend) -> None:
-        while backend.idle:
-            backend.idle[-1].drop()
+        while backend.idle_connections:
+            backend.idle_connections[-1].close()
 
     # Calls.
 
     def start(self, call: Call) -> None:
-        """Send the call on an idle connection, or queue it for the next one that is free."""
+        """Send the call on an idle connection, or queue it for the next one that becomes available."""
         backend = self.backends[call.endpoint]
-        connection = self._take_idle(backend)
+        connection = self._take_idle_connection(backend)
         if connection is not None:
-            connection.carry(call)
+            connection.send_call(call)
             return
         call.waiting = True
         backend.waiting[call] = self.loop.call_later(
-            self.connect_timeout_s, self._waited_too_long, call, backend)
-        self._serve_when_settled(backend)
-        self._dial_for_waiting(backend)
+            self.connect_timeout_s, self._connect_timed_out, call, backend)
+        self._schedule_reuse(backend)
+        self._connect_for_waiting_calls(backend)
 
     def abort(self, call: Call) -> None:
-        """Abort the call: closing its connection is how the backend learns of it."""
+        """Abort the call. Closing its connection, if it has one, tells the backend about the abort."""
         connection, call.connection = call.connection, None
         if call.waiting:
             self._stop_waiting(call, self.backends[call.endpoint])
         elif isinstance(connection, Connection):
             connection.call = None
-            connection.drop()
+            connection.close()
 
     def unsent(self, call: Call) -> bool:
-        """Whether part of the call is not written yet: aborted now, it never runs."""
+        """Return whether part of the call is not written yet: if it is aborted now, it is not executed."""
         connection = call.connection
         return call.waiting or (isinstance(connection, Connection) and connection.unsent)
 
     def fail_unsent(self, call: Call, outcome: api.Outcome) -> None:
-        """End a call of which nothing was written."""
+        """End a call of which no byte has been written."""
         call.ended(outcome, None)
 
-    def _take_idle(self, backend: Backend) -> Connection | None:
-        """The connection used last, of those that have settled and are still good."""
+    def _take_idle_connection(self, backend: Backend) -> Connection | None:
+        """Take the most recently used connection that is still usable and whose reuse delay has passed."""
         now = self.clock.now()
-        oldest = now - min(self.idle_ms, backend.idle_ms)
-        for connection in [c for c in reversed(backend.idle) if c.answered_ms <= now - REUSE_DELAY_MS]:
-            backend.idle.remove(connection)
-            if (connection.idle_since > oldest and not connection.transport.is_closing()
-                    and not connection.stale()):
+        min_idle_since_ms = now - min(self.max_idle_ms, backend.max_idle_ms)
+        for connection in [
+            c for c in reversed(backend.idle_connections) if c.last_response_ms <= now - REUSE_DELAY_MS
+        ]:
+            backend.idle_connections.remove(connection)
+            if (connection.idle_since_ms > min_idle_since_ms and not connection.transport.is_closing()
+                    and not connection.has_unread_input()):
                 return connection
-            connection.drop()
+            connection.close()
         return None
 
-    # Calls that wait for a connection.
+    # Waiting calls.
 
     def _stop_waiting(self, call: Call, backend: Backend) -> None:
         backend.waiting.pop(call).cancel()
         call.waiting = False
 
-    def _fail_waiting(self, call: Call, backend: Backend, outcome: api.Outcome) -> None:
-        """End a call of which nothing has left. Its end never comes from within `start`."""
+    def _fail_waiting_call(self, call: Call, backend: Backend, outcome: api.Outcome) -> None:
+        """End a waiting call. Its outcome is reported later, never from within `start`."""
         self._stop_waiting(call, backend)
         self.loop.call_soon(self.fail_unsent, call, outcome)
 
-    def _fail_all_waiting(self, backend: Backend) -> None:
-        """Guards against calls that reach a backend past the grace: their connection may take longer."""
+    def _fail_all_waiting_calls(self, backend: Backend) -> None:
+        """End all calls that wait for a connection to the backend.
+
+        A pending connection may take longer to be established than the grace period of a draining backend.
+        The calls would then reach the backend after that period.
+        """
         for call in list(backend.waiting):
-            self._fail_waiting(call, backend, api.Outcome.NOT_SENT)
+            self._fail_waiting_call(call, backend, api.Outcome.NOT_SENT)
 
-    def _fail_excess(self, backend: Backend, outcome: api.Outcome) -> None:
-        """End the oldest of the calls that are more than the connections coming up."""
-        while len(backend.waiting) > len(backend.dials):
-            self._fail_waiting(next(iter(backend.waiting)), backend, outcome)
+    def _fail_excess_calls(self, backend: Backend, outcome: api.Outcome) -> None:
+        """End the oldest waiting calls until there are no more of them than pending connections."""
+        while len(backend.waiting) > len(backend.pending_connections):
+            self._fail_waiting_call(next(iter(backend.waiting)), backend, outcome)
 
-    def _waited_too_long(self, call: Call, backend: Backend) -> None:
-        self._fail_waiting(call, backend, api.Outcome.CONNECT_TIMEOUT)
+    def _connect_timed_out(self, call: Call, backend: Backend) -> None:
+        self._fail_waiting_call(call, backend, api.Outcome.CONNECT_TIMEOUT)
 
-    def _serve_waiting(self, backend: Backend) -> None:
-        """Put calls that wait on the connections that are free, the oldest first."""
+    def _send_waiting_calls(self, backend: Backend) -> None:
+        """Send the waiting calls on the connections that are available, the oldest call first."""
         while backend.waiting:
-            connection = self._take_idle(backend)
+            connection = self._take_idle_connection(backend)
             if connection is None:
-                self._serve_when_settled(backend)
+                self._schedule_reuse(backend)
                 return
             call = next(iter(backend.waiting))
             self._stop_waiting(call, backend)
-            connection.carry(call)
+            connection.send_call(call)
 
-    def _serve_when_settled(self, backend: Backend) -> None:
-        """Come back to the calls that wait once the next kept connection may be used again."""
-        if backend.idle and backend.settling is None:
-            due_ms = min(c.answered_ms for c in backend.idle) + REUSE_DELAY_MS + TIMER_EARLY_MS
+    def _schedule_reuse(self, backend: Backend) -> None:
+        """Arrange to send waiting calls when the reuse delay of the next idle connection has passed."""
+        if backend.idle_connections and backend.reuse_timer is None:
+            due_ms = (
+                min(c.last_response_ms for c in backend.idle_connections) + REUSE_DELAY_MS + TIMER_EARLY_MS)
             wait_s = max(0.0, due_ms - self.clock.now()) / 1000.0
-            backend.settling = self.loop.call_later(wait_s, self._settled, backend)
+            backend.reuse_timer = self.loop.call_later(wait_s, self._reuse_timer_fired, backend)
 
-    def _settled(self, backend: Backend) -> None:
-        backend.settling = None
-        self._serve_waiting(backend)
+    def _reuse_timer_fired(self, backend: Backend) -> None:
+        backend.reuse_timer = None
+        self._send_waiting_calls(backend)
 
     # Opening connections.
 
-    def _dial_for_waiting(self, backend: Backend) -> None:
-        """Keep as many connections coming up in time as calls wait.
+    def _connect_for_waiting_calls(self, backend: Backend) -> None:
+        """Open connections until each waiting call has a pending connection that is not slow.
 
-        One that is late does not count, so that a further one is dialled beside it; whichever comes up first
-        serves the call that has waited longest, and the others are kept.
+        Another connection is thereby opened beside each slow one. Whichever is established first serves the
+        call that has waited longest, and the others stay in the pool.
         """
-        while sum(not d.late for d in backend.dials) < len(backend.waiting):
-            spare = len(backend.dials) >= len(backend.waiting)
-            if self.count >= self.max_connections and (spare or not self._evict_idle()):
-                # Guards against blaming the backend for what this proxy lacks.
-                self._fail_excess(backend, api.Outcome.NOT_SENT)
+        while sum(not pending.slow for pending in backend.pending_connections) < len(backend.waiting):
+            # A connection beside a slow one does not evict an idle connection.
+            beside_slow = len(backend.pending_connections) >= len(backend.waiting)
+            if self.total_connections >= self.max_connections and (beside_slow or not self._evict_idle()):
+                # NOT_SENT, as the backend is not to blame for the proxy's connection limit.
+                self._fail_excess_calls(backend, api.Outcome.NOT_SENT)
                 return
-            self._dial(backend)
+            self._start_connecting(backend)
 
-    def _dial(self, backend: Backend) -> None:
-        """Open one connection. Each late one doubles the patience with the next, until one is in time.
+    def _start_connecting(self, backend: Backend) -> None:
+        """Start to open one connection.
 
-        Guards against dialling a backend that does not answer, or is slow to, over and over.
+        Each consecutive slow connection to a backend doubles the slow-connect threshold of the next one,
+        until one is established in time. Otherwise the proxy would connect again and again to a backend that
+        is slow or does not respond.
         """
-        self.count += 1
+        self.total_connections += 1
         self.handshakes += 1
-        dial = Dial(self.clock.now())
-        backend.dials.add(dial)
-        patience_ms = self.connect_times.patience_ms() * 2.0 ** min(backend.late_in_a_row, MAX_DOUBLINGS)
-        if patience_ms < self.connect_timeout_s * 1000.0:
-            dial.timer = self.loop.call_later(patience_ms / 1000.0, self._is_late, dial, backend)
-        task = self.loop.create_task(self._open(dial, backend))
+        pending = PendingConnection(self.clock.now())
+        backend.pending_connections.add(pending)
+        slow_threshold_ms = self.connect_times.slow_threshold_ms() * 2.0 ** min(
+            backend.consecutive_slow_connects, MAX_SLOW_THRESHOLD_DOUBLINGS)
+        if slow_threshold_ms < self.connect_timeout_s * 1000.0:
+            pending.slow_timer = self.loop.call_later(
+                slow_threshold_ms / 1000.0, self._mark_slow, pending, backend)
+        task = self.loop.create_task(self._connect(pending, backend))
         self.connect_tasks.add(task)
         task.add_done_callback(self.connect_tasks.discard)
 
-    def _is_late(self, dial: Dial, backend: Backend) -> None:
-        dial.late = True
+    def _mark_slow(self, pending: PendingConnection, backend: Backend) -> None:
+        pending.slow = True
         self.slow_connect_count += 1
-        backend.late_in_a_row += 1
-        self._serve_waiting(backend)
-        self._dial_for_waiting(backend)
+        backend.consecutive_slow_connects += 1
+        self._send_waiting_calls(backend)
+        self._connect_for_waiting_calls(backend)
+
+    async def _connect(self, pending: PendingConnection, backend: Backend) -> None:
+        """Open a connection.
 
-    async def _open(self, dial: Dial, backend: Backend) -> None:
-        """Open a connection. What goes wrong here (no descriptor too) has sent nothing."""
+        No byte of a call has been sent when this fails, also when the proxy lacks a file descriptor for it.
+        """
         connection = Connection(self, backend)
         outcome = api.Outcome.CONNECT_FAILED
         try:
             async with asyncio.timeout(self.connect_timeout_s):
                 await self.loop.create_connection(lambda: connection, *backend.address)
-        except (OSError, TimeoutError, ValueError) as fault:
-            if isinstance(fault, TimeoutError):
+        except (OSError, TimeoutError, ValueError) as error:
+            if isinstance(error, TimeoutError):
                 outcome = api.Outcome.CONNECT_TIMEOUT
-            elif isinstance(fault, OSError) and fault.errno in OWN_FAULTS:
+            elif isinstance(error, OSError) and error.errno in LOCAL_RESOURCE_ERRNOS:
                 outcome = api.Outcome.NOT_SENT
             if not connection.closed:
-                # One that came up as its time ran out is lost too: guards against counting it off twice.
-                connection.leave_pool()
-        backend.dials.discard(dial)
-        if dial.timer is not None:
-            dial.timer.cancel()
+                # If the connection was established just as its timeout expired, it may be closed already.
+                # Removing it again would subtract it twice from the number of connections.
+                connection.remove_from_pool()
+        backend.pending_connections.discard(pending)
+        if pending.slow_timer is not None:
+            pending.slow_timer.cancel()
         if connection.closed or connection.transport.is_closing():
-            connection.drop()
-            self._dial_failed(dial, backend, outcome)
+            connection.close()
+            self._connect_failed(pending, backend, outcome)
             return
-        self.connect_times.add(self.clock.now() - dial.started_ms)
-        if not dial.late:
-            backend.late_in_a_row = 0
+        self.connect_times.add(self.clock.now() - pending.started_ms)
+        if not pending.slow:
+            backend.consecutive_slow_connects = 0
         self.release(connection)
-        self._serve_waiting(backend)
+        self._send_waiting_calls(backend)
 
-    def _dial_failed(self, dial: Dial, backend: Backend, outcome: api.Outcome) -> None:
-        """Go on without the connection. What fails at once is not dialled again for the same call.
+    def _connect_failed(self, pending: PendingConnection, backend: Backend, outcome: api.Outcome) -> None:
+        """Handle a connection that could not be established.
 
-        Guards against dialling a backend that refuses over and over while another connection to it is late.
+        A connection that fails at once ends a waiting call and is not retried for it. Otherwise the proxy
+        would connect again and again to a backend that refuses connections while an earlier one is slow.
         """
         if outcome is api.Outcome.CONNECT_FAILED:
             if backend.waiting:
-                self._fail_waiting(next(iter(backend.waiting)), backend, outcome)
-            self._dial_for_waiting(backend)
+                self._fail_waiting_call(next(iter(backend.waiting)), backend, outcome)
+            self._connect_for_waiting_calls(backend)
             return
-        self._fail_excess(backend, outcome)
+        self._fail_excess_calls(backend, outcome)
         if outcome is api.Outcome.CONNECT_TIMEOUT:
-            self.connect_times.add(self.clock.now() - dial.started_ms)
-            self._dial_for_waiting(backend)
+            self.connect_times.add(self.clock.now() - pending.started_ms)
+            self._connect_for_waiting_calls(backend)
 
     def release(self, connection: Connection) -> None:
-        """Return the connection to its backend's idle ones, unless the backend takes no more calls."""
+        """Make the connection available for other calls, or close it if its backend accepts no calls."""
         if not connection.backend.accepts_calls:
-            connection.drop()
+            connection.close()
             return
         backend = connection.backend
-        backend.idle.append(connection)
+        backend.idle_connections.append(connection)
         if backend.waiting:
-            self._serve_when_settled(backend)
+            self._schedule_reuse(backend)
 
     def connection_closed(self, connection: Connection) -> None:
-        """Remove a closed connection from the count and from its backend's idle ones."""
-        self.count -= 1
-        if connection in connection.backend.idle:
-            connection.backend.idle.remove(connection)
+        """Remove a closed connection from the pool."""
+        self.total_connections -= 1
+        if connection in connection.backend.idle_connections:
+            connection.backend.idle_connections.remove(connection)
 
     def _evict_idle(self) -> bool:
-        """Close the connection that has been idle longest, of all backends."""
-        rested = [b.idle[0] for b in self.backends.values() if b.idle]
-        if not rested:
+        """Close the connection that has been idle for the longest time, and return whether there was one."""
+        candidates = [
+            backend.idle_connections[0] for backend in self.backends.values() if backend.idle_connections
+        ]
+        if not candidates:
             return False
-        min(rested, key=lambda c: c.idle_since).drop()
+        min(candidates, key=lambda c: c.idle_since_ms).close()
         return True
 
-    def _sweep(self) -> None:
-        """Close what has been idle too long before the backend does."""
+    def _close_expired_connections(self) -> None:
+        """Close the connections that have been idle too long, before their backends close them."""
         now = self.clock.now()
         for backend in self.backends.values():
-            oldest = now - min(self.idle_ms, backend.idle_ms)
-            while backend.idle and backend.idle[0].idle_since <= oldest:
-                backend.idle[0].drop()
-        self.loop.call_later(SWEEP_S, self._sweep)
+            min_idle_since_ms = now - min(self.max_idle_ms, backend.max_idle_ms)
+            while backend.idle_connections and backend.idle_connections[0].idle_since_ms <= min_idle_since_ms:
+                backend.idle_connections[0].close()
+        self.loop.call_later(IDLE_SWEEP_INTERVAL_S, self._close_expired_connections)
--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -96,7 +96,7 @@
 def test_no_attempt_is_sent_after_the_client_has_disconnected(
     disconnect_mode: str, event_type: type, number: int, sent: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    # Without a settling time, the attempt is written to an idle connection at once.
+    # Without a reuse delay, the attempt is written to an idle connection at once.
     monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
 
     async def main() -> None:
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -1,4 +1,4 @@
-"""Attempts over real sockets: the outcome of each ending, and that a request leaves at most once."""
+"""Tests of attempts over real sockets: their outcomes, and that a request is sent at most once."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 Outcome = api.Outcome
 
 
-@pytest.mark.parametrize(("step", "outcome", "report"), [
+@pytest.mark.parametrize(("scripted_response", "outcome", "expected_report"), [
     (make_response(200, b"x", b"X-Backend-Load: busy_reqs=7,pending=2"), Outcome.OK, (2.0, 7.0)),
     (make_response(500, b"x", b"X-Backend-Load: pending=1,busy_reqs=0"), Outcome.ERROR, (1.0, 0.0)),
     (make_response(503, b"", b"X-Unprocessed: 1"), Outcome.REJECTED, None),
@@ -54,36 +54,39 @@
     (make_response(200, b"ok", b"X-Backend-Load: pending=nan,busy_reqs=1"), Outcome.OK, None),
     (b"HTTP/1.1 102 X\r\nX-Backend-Load: pending=9,busy_reqs=9\r\n\r\n" + make_response(), Outcome.OK, None),
 ])
-def test_outcomes(step: bytes | str, outcome: api.Outcome, report: tuple[float, ...] | None) -> None:
+def test_outcome_of_each_response(
+    scripted_response: bytes | str, outcome: api.Outcome, expected_report: tuple[float, ...] | None,
+) -> None:
     async def main() -> None:
         backend = await Backend().start()
-        cut = isinstance(step, bytes) and outcome is Outcome.RESET
-        backend.scripted_responses = [step]
+        truncated = isinstance(scripted_response, bytes) and outcome is Outcome.RESET
+        backend.scripted_responses = [scripted_response]
         async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 1}) as harness:
             client = await Client.connect(harness.port)
             client.send("pay")
             await with_timeout(backend.request_received.wait())
-            if cut:  # what came is not whole: end the connection after it
+            if truncated:  # The backend closes the connection after an incomplete response.
                 for writer in list(backend.writers):
                     await writer.drain()
                     writer.close()
             event = await harness.wait_for_ended_attempt()
-            assert (event.outcome, event.load_report, event.endpoint) == (outcome, report, "b")
+            assert (event.outcome, event.load_report, event.endpoint) == (outcome, expected_report, "b")
             assert event.request_finished == (outcome is Outcome.OK)
             status = await client.read_status()
             assert (status == 200) == (outcome is Outcome.OK)
             if outcome not in api.NOT_EXECUTED_OUTCOMES:
                 assert status not in (429, 503) or status == 200
-                assert len(backend.requests) == 1  # an unsafe request that may have run leaves once
+                # A request that must not be repeated is sent once if it may have been executed.
+                assert len(backend.requests) == 1
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_a_refused_connection_has_run_nothing() -> None:
+def test_a_refused_connection_ends_as_connect_failed() -> None:
     async def main() -> None:
-        with socket.socket() as taken:
-            taken.bind(("127.0.0.1", 0))  # bound, and not listening
-            async with synced_proxy([discovery_entry("b", taken.getsockname()[1])]) as harness:
+        with socket.socket() as unused:
+            unused.bind(("127.0.0.1", 0))  # The port is bound, but nothing listens on it.
+            async with synced_proxy([discovery_entry("b", unused.getsockname()[1])]) as harness:
                 client = await Client.connect(harness.port)
                 client.send("pay")
                 assert await client.read_status() == 503
@@ -91,19 +94,19 @@
     run_with_timeout(main())
 
 
-def test_a_connection_that_never_comes_up_is_given_up() -> None:
+def test_a_connection_that_is_never_established_times_out() -> None:
     async def main() -> None:
-        with socket.socket() as deaf:
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen(0)
+        with socket.socket() as listener:
+            listener.bind(("127.0.0.1", 0))
+            listener.listen(0)
             fillers = []
-            for _ in range(4):  # its queue is full: further connections stay silent
+            for _ in range(4):  # These fill the listener's backlog, so further connects get no reply.
                 filler = socket.socket()
                 filler.setblocking(False)
-                filler.connect_ex(deaf.getsockname())
+                filler.connect_ex(listener.getsockname())
                 fillers.append(filler)
             async with synced_proxy(
-                [discovery_entry("b", deaf.getsockname()[1])], bounds={"mostTries": 1}
+                [discovery_entry("b", listener.getsockname()[1])], bounds={"mostTries": 1}
             ) as harness:
                 client = await Client.connect(harness.port)
                 client.send("pay")
@@ -116,88 +119,91 @@
     run_with_timeout(main())
 
 
-class TooLate(GatedLoop):
-    """The loop, except that the time for a connection is up in the turn after it came up."""
+class ExpiredConnectLoop(GatedLoop):
+    """A loop in which each connect times out in the loop iteration after the connection is established.
+
+    If `connections_allowed` is set, the timeout comes only after the connection is closed.
+    """
 
     async def create_connection(self, *args: Any) -> Any:
         transport, protocol = await self.loop.create_connection(*args)
-        transport.abort()  # as the loop itself does with one whose opening is cancelled
+        transport.abort()  # The loop itself does this with a connection whose connect is cancelled.
         if self.connections_allowed.is_set():
             await wait_until(lambda: protocol.closed)
         raise TimeoutError
 
 
-@pytest.mark.parametrize("lost_first", [True, False])
-def test_a_connection_that_comes_up_as_its_time_runs_out_is_counted_off_once(lost_first: bool) -> None:
-    """Guards against a count that sinks below the truth, and with it the bound on connections."""
+@pytest.mark.parametrize("close_first", [True, False])
+def test_a_connection_established_as_its_timeout_expires_is_removed_once(close_first: bool) -> None:
+    """Removing the connection twice would make the pool count too few, and exceed its connection limit."""
     async def main() -> None:
         backend = await Backend().start()
         loop = asyncio.get_running_loop()
         pool = ConnectionPool(loop, Clock(), api.Limits(connect_timeout_ms=20000.0), 10)
         pool.set_endpoint("b", ("127.0.0.1", backend.port), None, accepts_calls=True)
-        gate = TooLate(loop)
+        gate = ExpiredConnectLoop(loop)
         pool.loop = gate  # type: ignore[assignment]
-        if lost_first:
+        if close_first:
             gate.connections_allowed.set()
         call = RecordingCall(b"")
         pool.start(call)
         await with_timeout(call.finished.wait())
         await wait_until(lambda: backend.closed_connection_count == 1)
-        assert (call.outcomes, pool.count, backend.requests) == ([Outcome.CONNECT_TIMEOUT], 0, [])
+        assert (call.outcomes, pool.total_connections, backend.requests) == ([Outcome.CONNECT_TIMEOUT], 0, [])
         await backend.stop()
     run_with_timeout(main())
 
 
-@pytest.mark.parametrize("change", ["drains", "leaves", "starts anew", "moves"])
-def test_a_backend_that_changes_while_a_connection_comes_up_gets_nothing(change: str) -> None:
-    """The change falls between the decision and the connection, every time: both come in one turn."""
+@pytest.mark.parametrize("change", ["drains", "is removed", "restarts", "moves"])
+def test_nothing_is_sent_to_a_backend_that_changes_during_connect(change: str) -> None:
+    """The change always precedes the connection, because both calls are made in one loop iteration."""
     async def main() -> None:
         backend, other = await Backend().start(), await Backend().start()
-        where = ("127.0.0.1", backend.port)
+        address = ("127.0.0.1", backend.port)
         pool = ConnectionPool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
-        pool.set_endpoint("b", where, 1.0, accepts_calls=True)
+        pool.set_endpoint("b", address, 1.0, accepts_calls=True)
         call = RecordingCall(b"x")
         pool.start(call)
-        if change == "leaves":
+        if change == "is removed":
             pool.remove_endpoint("b")
         else:
             pool.set_endpoint(
-                "b", ("127.0.0.1", other.port) if change == "moves" else where,
-                2.0 if change == "starts anew" else 1.0, accepts_calls=change != "drains")
+                "b", ("127.0.0.1", other.port) if change == "moves" else address,
+                2.0 if change == "restarts" else 1.0, accepts_calls=change != "drains")
         await with_timeout(call.finished.wait())
         assert call.outcomes == [Outcome.NOT_SENT]
         await wait_until(lambda: backend.closed_connection_count == 1)
-        assert (pool.count, backend.requests, other.requests) == (0, [], [])
+        assert (pool.total_connections, backend.requests, other.requests) == (0, [], [])
         await backend.stop()
         await other.stop()
     run_with_timeout(main())
 
 
-def test_a_break_before_the_last_byte_left_has_run_nothing() -> None:
-    """The body is larger than what the sockets' buffers take, and the backend never reads it."""
+def test_losing_a_connection_before_the_request_is_written_is_connect_failed() -> None:
+    """The body is larger than the buffers of the sockets, and the backend never reads it."""
     async def main() -> None:
-        with socket.socket() as deaf:
-            deaf.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
-            deaf.bind(("127.0.0.1", 0))
-            deaf.listen()
-            deaf.setblocking(False)
+        with socket.socket() as listener:
+            listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
+            listener.bind(("127.0.0.1", 0))
+            listener.listen()
+            listener.setblocking(False)
             loop = asyncio.get_running_loop()
             pool = ConnectionPool(loop, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)
-            pool.set_endpoint("b", deaf.getsockname(), None, accepts_calls=True)
+            pool.set_endpoint("b", listener.getsockname(), None, accepts_calls=True)
             call = RecordingCall(b"x" * (64 << 20))
             pool.start(call)
-            peer, _ = await with_timeout(loop.sock_accept(deaf))
+            peer, _ = await with_timeout(loop.sock_accept(listener))
             await wait_until(lambda: call.connection is not None)
             assert pool.unsent(call)
             peer.close()
             await with_timeout(call.finished.wait())
             assert call.outcomes == [Outcome.CONNECT_FAILED]
-            assert pool.count == 0
+            assert pool.total_connections == 0
     run_with_timeout(main())
 
 
-class SmallBuffers:
-    """The loop, except that new connections have a small send buffer."""
+class SmallSendBufferLoop:
+    """Wraps an event loop and gives new connections a small send buffer."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
@@ -206,15 +212,18 @@
         return getattr(self.loop, name)
 
     async def create_connection(self, factory: Any, host: str, port: int) -> Any:
-        small = socket.socket()
-        small.setblocking(False)
-        small.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
-        await self.loop.sock_connect(small, (host, port))
-        return await self.loop.create_connection(factory, sock=small)
+        connection = socket.socket()
+        connection.setblocking(False)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 8192)
+        await self.loop.sock_connect(connection, (host, port))
+        return await self.loop.create_connection(factory, sock=connection)
 
 
-def test_what_is_given_up_half_written_never_arrives_whole() -> None:
-    """Guards against a request told as never run whose rest the system still sends as it is closed."""
+def test_a_request_aborted_half_written_never_arrives_whole() -> None:
+    """The event loop tries once more to write its buffer when a connection is closed.
+
+    The request could then be executed, although its outcome says that it was not.
+    """
     async def main() -> None:
         with socket.socket() as listener:
             listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -222,8 +231,9 @@
             listener.listen()
             listener.setblocking(False)
             loop = asyncio.get_running_loop()
-            small = SmallBuffers(loop)
-            pool = ConnectionPool(small, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)  # type: ignore[arg-type]
+            buffer_loop = SmallSendBufferLoop(loop)
+            pool = ConnectionPool(
+                buffer_loop, Clock(), api.Limits(connect_timeout_ms=2000.0), 10)  # type: ignore[arg-type]
             pool.set_endpoint("b", listener.getsockname(), None, accepts_calls=True)
             call = RecordingCall(b"x" * 20_000)
             pool.start(call)
@@ -232,24 +242,25 @@
             assert pool.unsent(call)
             peer.setblocking(True)
             peer.settimeout(0.2)
-            came = b""
-            with suppress(TimeoutError):  # the loop stands still: what it has not written waits
+            received = b""
+            # This blocks the event loop, so the part that it has not written yet stays in its buffer.
+            with suppress(TimeoutError):
                 while data := peer.recv(65536):
-                    came += data
+                    received += data
             assert pool.unsent(call)
             pool.abort(call)
             await asyncio.sleep(0)
             peer.setblocking(False)
             with suppress(ConnectionError):
                 while data := await with_timeout(loop.sock_recv(peer, 65536)):
-                    came += data
+                    received += data
             peer.close()
-            assert 0 < len(came.partition(b"\r\n\r\n")[2]) < 20_000
-            await wait_until(lambda: pool.count == 0)
+            assert 0 < len(received.partition(b"\r\n\r\n")[2]) < 20_000
+            await wait_until(lambda: pool.total_connections == 0)
     run_with_timeout(main())
 
 
-def test_a_backend_that_says_nothing_times_out_and_its_connection_closes() -> None:
+def test_an_attempt_without_a_response_times_out_and_its_connection_closes() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
@@ -264,68 +275,69 @@
     run_with_timeout(main())
 
 
-def test_what_goes_on_to_the_backend() -> None:
+def test_request_line_headers_and_body_reach_the_backend() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = make_response(200, bytes(range(256)) * 256)
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
             client = await Client.connect(harness.port)
             body = bytes(reversed(range(256))) * 256
-            name = client.send("order", body, "4000m", "X-Account: acme", "Cookie: sid=7")
-            first, _, answer = await client.read_response()
-            assert first.startswith(b"HTTP/1.1 200")
-            assert answer == bytes(range(256)) * 256
-            line, headers, got = backend.requests[0]
-            assert line == b"POST /api?q=1 HTTP/1.1"
-            assert got == body
-            assert headers[b"x-correlation-id"] == name.encode()
-            assert headers[b"idempotency-key"] == f"key-{name}".encode()
-            left = http1.duration(headers[b"x-time-left"])
-            assert left is not None
-            assert 0.0 < left < 4000.0
+            request_id = client.send("order", body, "4000m", "X-Account: acme", "Cookie: sid=7")
+            status_line, _, response_body = await client.read_response()
+            assert status_line.startswith(b"HTTP/1.1 200")
+            assert response_body == bytes(range(256)) * 256
+            request_line, headers, received_body = backend.requests[0]
+            assert request_line == b"POST /api?q=1 HTTP/1.1"
+            assert received_body == body
+            assert headers[b"x-correlation-id"] == request_id.encode()
+            assert headers[b"idempotency-key"] == f"key-{request_id}".encode()
+            time_left_ms = http1.duration(headers[b"x-time-left"])
+            assert time_left_ms is not None
+            assert 0.0 < time_left_ms < 4000.0
         await backend.stop()
     run_with_timeout(main())
 
 
-def settle(pool: ConnectionPool) -> None:
-    """As if the last answers on all kept connections had come long enough ago."""
+def skip_reuse_delay(pool: ConnectionPool) -> None:
+    """Make all idle connections reusable at once, by shifting the times of their last responses."""
     for backend in pool.backends.values():
-        for connection in backend.idle:
-            connection.answered_ms -= connection_pool.REUSE_DELAY_MS
+        for connection in backend.idle_connections:
+            connection.last_response_ms -= connection_pool.REUSE_DELAY_MS
 
 
-def test_a_second_answer_that_comes_late_is_not_taken_for_the_next_requests() -> None:
-    """It comes after the next request has left, every time: the backend waits for that."""
+def test_a_late_duplicate_response_is_not_matched_to_the_next_request() -> None:
+    """The backend sends a second response to the first request only when the next request has arrived."""
     async def main() -> None:
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             connections.append(writer)
             try:
                 while True:
                     _, _, body = await read_message(reader)
-                    while first and body != b"first":  # late: the next request is here
-                        other = first.pop()
-                        other.write(make_response(200, b"first"))
-                        await other.drain()
-                    came.append(body)
+                    while first_writers and body != b"first":
+                        first_writer = first_writers.pop()
+                        first_writer.write(make_response(200, b"first"))
+                        await first_writer.drain()
+                    received.append(body)
                     if body == b"first":
-                        first.append(writer)
+                        first_writers.append(writer)
                     await asyncio.sleep(0.01)
                     writer.write(make_response(200, body))
             except (asyncio.IncompleteReadError, ConnectionError):
                 writer.close()
 
         connections: list[asyncio.StreamWriter] = []
-        came: list[bytes] = []
-        first: list[asyncio.StreamWriter] = []
+        received: list[bytes] = []
+        first_writers: list[asyncio.StreamWriter] = []
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         async with synced_proxy([discovery_entry("b", server.sockets[0].getsockname()[1])]) as harness:
             client = await Client.connect(harness.port)
             for body in (b"first", b"second"):
                 client.send("pay", body)
                 assert (await client.read_response())[2] == body
-            assert came == [b"first", b"second"]
-            await wait_until(lambda: harness.proxy.pool.count == 1)  # the one with the late answer is closed
-            settle(harness.proxy.pool)
+            assert received == [b"first", b"second"]
+            # The connection with the duplicate response is closed.
+            await wait_until(lambda: harness.proxy.pool.total_connections == 1)
+            skip_reuse_delay(harness.proxy.pool)
             client.send("pay", b"third")
             assert (await client.read_response())[2] == b"third"
             assert len(connections) == 2
@@ -333,7 +345,7 @@
     run_with_timeout(main())
 
 
-def test_connections_are_kept_and_one_carries_one_request_at_a_time() -> None:
+def test_connections_are_reused_for_one_request_at_a_time() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -341,20 +353,20 @@
             for _ in range(5):
                 client.send()
                 assert await client.read_status() == 200
-                settle(harness.proxy.pool)
+                skip_reuse_delay(harness.proxy.pool)
             assert backend.connection_count == 1
             backend.default_response = None
-            other = await Client.connect(harness.port)
+            second_client = await Client.connect(harness.port)
             client.send()
-            other.send()
+            second_client.send()
             await wait_until(lambda: len(backend.requests) == 7)
             assert backend.connection_count == 2
         await backend.stop()
     run_with_timeout(main())
 
 
-@pytest.mark.parametrize("stray", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"?"])
-def test_a_kept_connection_that_saw_its_end_or_stray_bytes_is_not_used_again(stray: bytes) -> None:
+@pytest.mark.parametrize("unsolicited", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"?"])
+def test_an_idle_connection_with_eof_or_unsolicited_bytes_is_not_reused(unsolicited: bytes) -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -362,11 +374,11 @@
             client.send()
             assert await client.read_status() == 200
             for writer in list(backend.writers):
-                if stray:
-                    writer.write(stray)
+                if unsolicited:
+                    writer.write(unsolicited)
                 else:
                     writer.close()
-            await wait_until(lambda: harness.proxy.pool.count == 0)
+            await wait_until(lambda: harness.proxy.pool.total_connections == 0)
             client.send("pay")
             assert await client.read_status() == 200
             assert backend.connection_count == 2
@@ -374,7 +386,7 @@
     run_with_timeout(main())
 
 
-def test_an_answer_with_more_behind_it_or_close_ends_its_connection() -> None:
+def test_a_response_with_connection_close_ends_its_connection() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [
@@ -391,15 +403,15 @@
     run_with_timeout(main())
 
 
-def test_a_connection_idle_for_nearly_the_settings_time_is_closed_first() -> None:
+def test_the_proxy_closes_an_idle_connection_before_the_idle_timeout() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        # 50 ms short of the margin
+        # The margin of 750 ms leaves an idle time of 50 ms.
         async with synced_proxy([backend.discovery_entry("b")], bounds={"connIdleMs": 800.0}) as harness:
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
-            # by the proxy: this backend never does
+            # Only the proxy can have closed it, because this backend does not close idle connections.
             await wait_until(lambda: backend.closed_connection_count == 1)
             client.send()
             assert await client.read_status() == 200
@@ -408,7 +420,7 @@
     run_with_timeout(main())
 
 
-def test_a_client_that_leaves_takes_no_attempt_along() -> None:
+def test_a_client_disconnect_does_not_abort_an_attempt_that_was_sent() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
@@ -428,7 +440,7 @@
     run_with_timeout(main())
 
 
-def test_a_client_that_leaves_while_a_connection_comes_up_has_nothing_sent_on() -> None:
+def test_nothing_is_sent_for_a_client_that_disconnects_during_connect() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy(
@@ -437,7 +449,7 @@
             pool = harness.proxy.pool
             gate = GatedLoop(pool.loop)
             pool.loop = gate  # type: ignore[assignment]
-            client, stays = await Client.connect(harness.port), await Client.connect(harness.port)
+            client, second_client = await Client.connect(harness.port), await Client.connect(harness.port)
             client.send("pay", b"left")
             await wait_until(lambda: pool.handshakes == 1)
             client.writer.close()
@@ -448,40 +460,42 @@
                 (Outcome.NOT_SENT, True)
             ]
             assert harness.proxy.driver.requests == {}
-            stays.send("pay", b"stays")  # the connection that came up serves the next one
-            assert await stays.read_status() == 200
-            assert [m[2] for m in backend.requests] == [b"stays"]
+            # The established connection serves the next request.
+            second_client.send("pay", b"stays")
+            assert await second_client.read_status() == 200
+            assert [message[2] for message in backend.requests] == [b"stays"]
             assert backend.connection_count == 1
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_the_bound_on_connections_closes_idle_ones_and_then_sends_nothing() -> None:
+def test_at_the_connection_limit_idle_connections_close_and_then_calls_are_not_sent() -> None:
     async def main() -> None:
         first, second = await Backend().start(), await Backend().start()
         pool = ConnectionPool(asyncio.get_running_loop(), Clock(), api.Limits(connect_timeout_ms=2000.0), 1)
         pool.set_endpoint("b", ("127.0.0.1", first.port), None, accepts_calls=True)
-        one = RecordingCall(b"")
-        pool.start(one)
-        await with_timeout(one.finished.wait())
+        first_call = RecordingCall(b"")
+        pool.start(first_call)
+        await with_timeout(first_call.finished.wait())
         pool.set_endpoint("c", ("127.0.0.1", second.port), None, accepts_calls=True)
         second.default_response = None
-        two, three = RecordingCall(b""), RecordingCall(b"")
-        two.endpoint = three.endpoint = "c"
-        pool.start(two)  # closes the idle connection to the other backend
+        second_call, third_call = RecordingCall(b""), RecordingCall(b"")
+        second_call.endpoint = third_call.endpoint = "c"
+        pool.start(second_call)  # This closes the idle connection to the other backend.
         await with_timeout(second.request_received.wait())
         await wait_until(lambda: first.closed_connection_count == 1)
-        pool.start(three)  # and this one finds none to close
-        assert three.outcomes == []
-        await with_timeout(three.finished.wait())
-        # The backend is not to blame for what this proxy lacks.
-        assert (one.outcomes, two.outcomes, three.outcomes) == ([Outcome.OK], [], [Outcome.NOT_SENT])
+        pool.start(third_call)  # There is no idle connection left to close.
+        assert third_call.outcomes == []
+        await with_timeout(third_call.finished.wait())
+        # The backend is not to blame for the proxy's connection limit.
+        assert (first_call.outcomes, second_call.outcomes, third_call.outcomes) == (
+            [Outcome.OK], [], [Outcome.NOT_SENT])
         await first.stop()
         await second.stop()
     run_with_timeout(main())
 
 
-def test_probes_ask_for_the_report() -> None:
+def test_a_probe_fetches_the_load_report() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [make_response(200, b"pending=4,busy_reqs=5")]
@@ -495,10 +509,8 @@
     run_with_timeout(main())
 
 
-def test_an_answer_that_begins_and_does_not_end_leaves_time_for_another_attempt(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    monkeypatch.setattr(backend_module, "ANSWER_S", 0.05)
+def test_an_incomplete_response_times_out_early_enough_for_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(backend_module, "RESPONSE_READ_TIMEOUT_S", 0.05)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -508,16 +520,16 @@
             client.send("order")
             assert await client.read_status() == 200
             assert [e.outcome for e in harness.ended_attempts()] == [Outcome.ERROR, Outcome.OK]
-            # the first was given up before the second left
+            # The connection of the first attempt is closed.
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert len({r[1][b"idempotency-key"] for r in backend.requests}) == 1
         await backend.stop()
     run_with_timeout(main())
 
 
-@pytest.mark.parametrize("behind", [make_response(200, b"another's"), b"noise"])
-def test_what_came_before_a_request_is_not_taken_for_its_answer(behind: bytes) -> None:
-    """The surplus lies in the socket's buffer, unread, at the moment the connection is taken again."""
+@pytest.mark.parametrize("surplus", [make_response(200, b"another's"), b"noise"])
+def test_bytes_received_before_a_request_are_not_taken_for_its_response(surplus: bytes) -> None:
+    """The surplus bytes are still unread in the socket's buffer when the connection is to be reused."""
     async def main() -> None:
         backend = await Backend().start()
         loop = asyncio.get_running_loop()
@@ -527,9 +539,9 @@
         pool.start(first)
         await with_timeout(first.finished.wait())
         (writer,) = backend.writers
-        sent = writer.get_extra_info("socket")
-        with socket.socket(fileno=os.dup(sent.fileno())) as raw:
-            raw.send(behind)  # past the loop: nothing is read before `start`
+        backend_socket = writer.get_extra_info("socket")
+        with socket.socket(fileno=os.dup(backend_socket.fileno())) as duplicate:
+            duplicate.send(surplus)  # This bypasses the loop, which reads nothing before `start`.
         second = RecordingCall(b"2")
         pool.start(second)
         await with_timeout(second.finished.wait())
@@ -540,7 +552,7 @@
     run_with_timeout(main())
 
 
-def test_a_connection_with_surplus_is_not_used_again_and_its_backend_not_ejected() -> None:
+def test_a_connection_with_surplus_bytes_is_not_reused_and_its_backend_not_ejected() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [
@@ -558,10 +570,8 @@
     run_with_timeout(main())
 
 
-def test_a_backend_that_closes_idle_connections_soon_is_not_written_to_on_an_old_one(
-    monkeypatch: pytest.MonkeyPatch,
-) -> None:
-    monkeypatch.setattr(backend_module, "IDLE_LEAST_MS", 20.0)
+def test_the_pool_learns_when_a_backend_closes_idle_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(backend_module, "MIN_OBSERVED_IDLE_MS", 20.0)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -573,13 +583,14 @@
         await asyncio.sleep(0.1)
         for writer in list(backend.writers):
             writer.close()
-        await wait_until(lambda: pool.count == 0)
-        learned = pool.backends["b"].idle_ms
-        assert 20.0 <= learned < 15000.0
+        await wait_until(lambda: pool.total_connections == 0)
+        observed_idle_ms = pool.backends["b"].max_idle_ms
+        assert 20.0 <= observed_idle_ms < 15000.0
         second, third = RecordingCall(b"2"), RecordingCall(b"3")
         pool.start(second)
         await with_timeout(second.finished.wait())
-        pool.backends["b"].idle[0].idle_since -= learned  # as if it had stood that long
+        # Make the connection appear to have been idle for that long.
+        pool.backends["b"].idle_connections[0].idle_since_ms -= observed_idle_ms
         pool.start(third)
         await with_timeout(third.finished.wait())
         assert (backend.connection_count, third.outcomes) == (3, [Outcome.OK])
@@ -587,9 +598,9 @@
     run_with_timeout(main())
 
 
-def test_a_long_answer_in_pieces_is_passed_on_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against good answers, longer than the protocol says, that failed their requests."""
-    monkeypatch.setattr(backend_module, "ANSWER_S", 1.0)
+def test_a_long_response_in_pieces_is_forwarded_whole(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Responses that are longer than the protocol allows must not fail their requests."""
+    monkeypatch.setattr(backend_module, "RESPONSE_READ_TIMEOUT_S", 1.0)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -604,17 +615,18 @@
             for start in range(0, len(whole), 80_000):
                 writer.write(whole[start:start + 80_000])
                 await writer.drain()
-                await asyncio.sleep(0.3)  # together longer than the pause that one piece may take
+                # The pauses add up to more than the read timeout.
+                await asyncio.sleep(0.3)
             assert (await client.read_response())[2] == body
             assert (await harness.wait_for_ended_attempt()).outcome is Outcome.OK
-            assert harness.proxy.pool.bytes_read == 0
+            assert harness.proxy.pool.buffered_bytes == 0
         await backend.stop()
     run_with_timeout(main())
 
 
-def test_long_answers_are_bounded_together(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Guards against running out of memory on answers that begin and do not end."""
-    monkeypatch.setattr(backend_module, "ANSWERS_BYTES", 300_000)
+def test_the_total_size_of_incomplete_responses_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Many responses that begin and never end would otherwise use up the memory."""
+    monkeypatch.setattr(backend_module, "MAX_BUFFERED_BYTES", 300_000)
 
     async def main() -> None:
         backend = await Backend().start()
@@ -627,6 +639,6 @@
             writer.write(make_response(200, b"x" * 400_000)[:-1])
             assert await client.read_status() == 502
             assert (await harness.wait_for_ended_attempt()).outcome is Outcome.ERROR
-            assert harness.proxy.pool.bytes_read == 0
+            assert harness.proxy.pool.buffered_bytes == 0
         await backend.stop()
     run_with_timeout(main())
