--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -18,10 +18,10 @@
 from honeywharf.net import config
 from honeywharf.net.clock import Clock
 from honeywharf.net.connection_pool import ConnectionPool
-from honeywharf.net.directory import Directory
-from honeywharf.net.discovery import Watch
+from honeywharf.net.discovery import DiscoveryClient
 from honeywharf.net.downstream import Frontend
 from honeywharf.net.driver import Driver
+from honeywharf.net.endpoint_directory import EndpointDirectory
 from honeywharf.net.log import log
 
 # Shares of the descriptors: callers hold a third at most with requests, each of which wants a connection to a
@@ -51,16 +51,16 @@
         self.driver = Driver(
             conf.settings, Balancer(conf.settings, conf.seed), self.pool, loop, self.clock,
             conf.report_fields)
-        self.directory = Directory(self.pool)
-        self.watch = Watch(
-            loop, self.clock, conf.discovery, self.directory, self.driver.discovery_event,
+        self.directory = EndpointDirectory(self.pool)
+        self.watch = DiscoveryClient(
+            loop, self.clock, conf.discovery, self.directory, self.driver.handle_discovery_event,
             polled=conf.settings.polled_discovery, rules=conf.settings.rules)
-        self.driver.registry = self.watch
+        self.driver.discovery = self.watch
         # Out of service until discovery has answered, as nothing is sent on the list of the last run before
         # that. But not for long: the module refuses what it cannot send.
         self.frontend = Frontend(
             loop, self.clock, self.driver, room - upstream,
-            lambda: self.waited or self.watch.first_poll_done)
+            lambda: self.waited or self.watch.initialized)
         self.waited = False  # discovery has been waited for long enough
         self.stopped = asyncio.Event()
         self.told: dict[str, int] = {}
@@ -82,7 +82,7 @@
         gc.freeze()  # the collector need not look at what stays
         gc.set_threshold(20000, 20, 50)
         await self.stopped.wait()
-        log(f"stops: {self.driver.open_requests} requests open")
+        log(f"stops: {self.driver.open_request_count} requests open")
 
     def reload(self) -> None:
         """Take over where discovery is now. All that is held, requests and records, goes on untouched."""
@@ -103,7 +103,7 @@
         if self.frontend.draining:
             return
         connections = len(self.frontend.connections)
-        log(f"drain: {self.driver.open_requests} requests open on {connections} connections")
+        log(f"drain: {self.driver.open_request_count} requests open on {connections} connections")
         self.frontend.drain()
         longest = max(c.deadline_ms for c in self.conf.settings.classes)
         self.loop.call_later(ACCEPT_S, self._close_listener)
@@ -115,7 +115,7 @@
 
     def _cut_off(self) -> None:
         """What is still open is answered before the process is killed, and so is what comes from now on."""
-        self.frontend.refusing = True
+        self.frontend.refusing_requests = True
         self.driver.fail_open_requests()
         self.loop.call_later(LEAVE_S, self._leave, self.clock.now() + LEAVE_LATEST_MS)
 
@@ -139,7 +139,7 @@
         changed = {k: v - self.told.get(k, 0) for k, v in counts.items() if v != self.told.get(k, 0)}
         if changed:
             log("stats " + " ".join(f"{k.replace(' ', '_')}={v}" for k, v in sorted(changed.items())))
-            log("list " + self.watch.figures())
+            log("list " + self.watch.summary())
             log("zones " + self.driver.balancer.summary())
         self.told = counts
         self.loop.call_later(STATS_S, self._stats)
--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -137,15 +137,15 @@
 
     def send_call(self, call: Call) -> None:
         """Write the whole request with a single `write`, if it may still be sent."""
-        if not call.may_send():
+        if not call.may_be_sent():
             self.pool.release(self)
             # The call must not end from within `ConnectionPool.start`.
             self.pool.loop.call_soon(self.pool.fail_unsent, call, Outcome.NOT_SENT)
             return
         self.call, call.connection = call, self
         call.written_ms = now = self.pool.clock.now()
-        time_left_header = b"" if call.probe else http1.time_left(call.until_ms - now)
-        host = b"Host: %b\r\n" % self.backend.host if call.probe else b""
+        time_left_header = b"" if call.is_probe else http1.time_left(call.deadline_at_ms - now)
+        host = b"Host: %b\r\n" % self.backend.host if call.is_probe else b""
         self.transport.write(b"%b%b%b\r\n%b" % (call.head, host, time_left_header, call.body))
         if self.transport.is_closing():
             # The write failed at once, so nothing was sent.
@@ -241,7 +241,7 @@
             self.close()
         if call is not None:
             call.connection = None
-            call.ended(outcome, response)
+            call.complete(outcome, response)
 
     def close(self) -> None:
         """Close the connection at once and discard what is not written yet."""
--- a/honeywharf/net/connection_pool.py
+++ b/honeywharf/net/connection_pool.py
@@ -100,7 +100,7 @@
         if connection is not None:
             connection.send_call(call)
             return
-        call.waiting = True
+        call.awaiting_connection = True
         backend.waiting[call] = self.loop.call_later(
             self.connect_timeout_s, self._connect_timed_out, call, backend)
         self._schedule_reuse(backend)
@@ -109,20 +109,20 @@
     def abort(self, call: Call) -> None:
         """Abort the call. Closing its connection, if it has one, tells the backend about the abort."""
         connection, call.connection = call.connection, None
-        if call.waiting:
+        if call.awaiting_connection:
             self._stop_waiting(call, self.backends[call.endpoint])
         elif isinstance(connection, Connection):
             connection.call = None
             connection.close()
 
-    def unsent(self, call: Call) -> bool:
+    def has_unwritten_data(self, call: Call) -> bool:
         """Return whether part of the call is not written yet: if it is aborted now, it is not executed."""
         connection = call.connection
-        return call.waiting or (isinstance(connection, Connection) and connection.unsent)
+        return call.awaiting_connection or (isinstance(connection, Connection) and connection.unsent)
 
     def fail_unsent(self, call: Call, outcome: api.Outcome) -> None:
         """End a call of which no byte has been written."""
-        call.ended(outcome, None)
+        call.complete(outcome, None)
 
     def _take_idle_connection(self, backend: Backend) -> Connection | None:
         """Take the most recently used connection that is still usable and whose reuse delay has passed."""
@@ -142,7 +142,7 @@
 
     def _stop_waiting(self, call: Call, backend: Backend) -> None:
         backend.waiting.pop(call).cancel()
-        call.waiting = False
+        call.awaiting_connection = False
 
     def _fail_waiting_call(self, call: Call, backend: Backend, outcome: api.Outcome) -> None:
         """End a waiting call. Its outcome is reported later, never from within `start`."""
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -194,7 +194,7 @@
             pool.start(call)
             peer, _ = await with_timeout(loop.sock_accept(listener))
             await wait_until(lambda: call.connection is not None)
-            assert pool.unsent(call)
+            assert pool.has_unwritten_data(call)
             peer.close()
             await with_timeout(call.finished.wait())
             assert call.outcomes == [Outcome.CONNECT_FAILED]
@@ -239,7 +239,7 @@
             pool.start(call)
             peer, _ = await with_timeout(loop.sock_accept(listener))
             await wait_until(lambda: call.connection is not None)
-            assert pool.unsent(call)
+            assert pool.has_unwritten_data(call)
             peer.setblocking(True)
             peer.settimeout(0.2)
             received = b""
@@ -247,7 +247,7 @@
             with suppress(TimeoutError):
                 while data := peer.recv(65536):
                     received += data
-            assert pool.unsent(call)
+            assert pool.has_unwritten_data(call)
             pool.abort(call)
             await asyncio.sleep(0)
             peer.setblocking(False)
