--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -1,4 +1,4 @@
-"""A backend's address and connection state, and a connection, which carries one call at a time."""
+"""The state of a backend, and a connection to it, which carries one call at a time."""
 
 from __future__ import annotations
 
@@ -77,7 +77,7 @@
     # The most recently used connection is the last one.
     idle_connections: deque[Connection] = field(default_factory=deque)
     # The calls that wait for a connection, the oldest first, with the timers of their connect timeouts.
-    waiting: dict[Call, asyncio.TimerHandle] = field(default_factory=dict)
+    waiting_calls: dict[Call, asyncio.TimerHandle] = field(default_factory=dict)
     # Runs while calls wait until an idle connection may be reused.
     reuse_timer: asyncio.TimerHandle | None = None
     pending_connections: set[PendingConnection] = field(default_factory=set)
@@ -98,17 +98,18 @@
     """A connection to a backend. It carries one call at a time, and writes each call at most once."""
 
     __slots__ = (
-        "backend", "buffered_bytes", "call", "closed", "file_descriptor", "idle_since_ms", "last_read_ms",
-        "last_response_ms", "pool", "reader", "response_started_ms", "response_timer", "transport", "unsent",
+        "backend", "buffered_bytes", "call", "closed", "file_descriptor", "has_unwritten_data",
+        "idle_since_ms", "last_read_ms", "last_response_ms", "pool", "reader", "response_started_ms",
+        "response_timer", "transport",
     )
 
     def __init__(self, pool: ConnectionOwner, backend: Backend) -> None:
         self.pool, self.backend = pool, backend
         self.call: Call | None = None
         self.reader = http1.ResponseReader()
-        # `unsent` is set while a part of the request is not written to the socket yet.
-        self.unsent = self.closed = False
-        # The second is the time of the last complete response, or 0 before the first response.
+        # `has_unwritten_data` is set while a part of the request is not written to the socket yet.
+        self.has_unwritten_data = self.closed = False
+        # `last_response_ms` is the time of the last complete response, or 0 before the first one.
         self.idle_since_ms = self.last_response_ms = 0.0
         self.file_descriptor = -1
         # These four describe the current response while it is incomplete.
@@ -129,11 +130,11 @@
 
     def pause_writing(self) -> None:
         """Part of the request is not written yet: if the connection is lost now, it was not executed."""
-        self.unsent = True
+        self.has_unwritten_data = True
 
     def resume_writing(self) -> None:
         """The whole request has been written to the socket."""
-        self.unsent = False
+        self.has_unwritten_data = False
 
     def send_call(self, call: Call) -> None:
         """Write the whole request with a single `write`, if it may still be sent."""
@@ -149,7 +150,7 @@
         self.transport.write(b"%b%b%b\r\n%b" % (call.head, host, time_left_header, call.body))
         if self.transport.is_closing():
             # The write failed at once, so nothing was sent.
-            self.unsent = True
+            self.has_unwritten_data = True
 
     def data_received(self, data: bytes) -> None:
         """Feed the response reader; unsolicited bytes close the connection."""
@@ -165,7 +166,7 @@
             return
         if response is not None:
             reader = self.reader
-            reusable = response.keep and reader.idle and not reader.surplus and not self.unsent
+            reusable = response.keep and reader.idle and not reader.surplus and not self.has_unwritten_data
             self._finish_call(outcome_of_response(response), response, reusable=reusable)
             return
         self.last_read_ms = self.pool.clock.now()
@@ -213,7 +214,7 @@
         For an idle connection, this also updates the backend's `max_idle_ms`.
         """
         if self.call is not None:
-            self._finish_call(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET, None)
+            self._finish_call(Outcome.CONNECT_FAILED if self.has_unwritten_data else Outcome.RESET, None)
         elif not self.closed:
             # The backend may close idle connections sooner than the settings say. A request that is written
             # at the moment when it does so would end as a reset.
@@ -227,7 +228,7 @@
     def connection_lost(self, exc: Exception | None) -> None:
         """The connection was lost or closed."""
         if not self.closed:
-            self._finish_call(Outcome.CONNECT_FAILED if self.unsent else Outcome.RESET, None)
+            self._finish_call(Outcome.CONNECT_FAILED if self.has_unwritten_data else Outcome.RESET, None)
 
     def _finish_call(
         self, outcome: api.Outcome, response: http1.Response | None, *, reusable: bool = False,
@@ -247,7 +248,7 @@
         """Close the connection at once and discard what is not written yet."""
         if not self.closed:
             self.remove_from_pool()
-            if self.unsent and not self.transport.is_closing():
+            if self.has_unwritten_data and not self.transport.is_closing():
                 self._shutdown_socket()
             self.transport.abort()
 
--- a/honeywharf/net/connection_pool.py
+++ b/honeywharf/net/connection_pool.py
@@ -101,7 +101,7 @@
             connection.send_call(call)
             return
         call.awaiting_connection = True
-        backend.waiting[call] = self.loop.call_later(
+        backend.waiting_calls[call] = self.loop.call_later(
             self.connect_timeout_s, self._connect_timed_out, call, backend)
         self._schedule_reuse(backend)
         self._connect_for_waiting_calls(backend)
@@ -118,7 +118,8 @@
     def has_unwritten_data(self, call: Call) -> bool:
         """Return whether part of the call is not written yet: if it is aborted now, it is not executed."""
         connection = call.connection
-        return call.awaiting_connection or (isinstance(connection, Connection) and connection.unsent)
+        return call.awaiting_connection or (
+            isinstance(connection, Connection) and connection.has_unwritten_data)
 
     def fail_unsent(self, call: Call, outcome: api.Outcome) -> None:
         """End a call of which no byte has been written."""
@@ -141,7 +142,7 @@
     # Waiting calls.
 
     def _stop_waiting(self, call: Call, backend: Backend) -> None:
-        backend.waiting.pop(call).cancel()
+        backend.waiting_calls.pop(call).cancel()
         call.awaiting_connection = False
 
     def _fail_waiting_call(self, call: Call, backend: Backend, outcome: api.Outcome) -> None:
@@ -155,25 +156,25 @@
         A pending connection may take longer to be established than the grace period of a draining backend.
         The calls would then reach the backend after that period.
         """
-        for call in list(backend.waiting):
+        for call in list(backend.waiting_calls):
             self._fail_waiting_call(call, backend, api.Outcome.NOT_SENT)
 
     def _fail_excess_calls(self, backend: Backend, outcome: api.Outcome) -> None:
         """End the oldest waiting calls until there are no more of them than pending connections."""
-        while len(backend.waiting) > len(backend.pending_connections):
-            self._fail_waiting_call(next(iter(backend.waiting)), backend, outcome)
+        while len(backend.waiting_calls) > len(backend.pending_connections):
+            self._fail_waiting_call(next(iter(backend.waiting_calls)), backend, outcome)
 
     def _connect_timed_out(self, call: Call, backend: Backend) -> None:
         self._fail_waiting_call(call, backend, api.Outcome.CONNECT_TIMEOUT)
 
     def _send_waiting_calls(self, backend: Backend) -> None:
         """Send the waiting calls on the connections that are available, the oldest call first."""
-        while backend.waiting:
+        while backend.waiting_calls:
             connection = self._take_idle_connection(backend)
             if connection is None:
                 self._schedule_reuse(backend)
                 return
-            call = next(iter(backend.waiting))
+            call = next(iter(backend.waiting_calls))
             self._stop_waiting(call, backend)
             connection.send_call(call)
 
@@ -197,9 +198,9 @@
         Another connection is thereby opened beside each slow one. Whichever is established first serves the
         call that has waited longest, and the others stay in the pool.
         """
-        while sum(not pending.slow for pending in backend.pending_connections) < len(backend.waiting):
+        while sum(not pending.slow for pending in backend.pending_connections) < len(backend.waiting_calls):
             # A connection beside a slow one does not evict an idle connection.
-            beside_slow = len(backend.pending_connections) >= len(backend.waiting)
+            beside_slow = len(backend.pending_connections) >= len(backend.waiting_calls)
             if self.total_connections >= self.max_connections and (beside_slow or not self._evict_idle()):
                 # NOT_SENT, as the backend is not to blame for the proxy's connection limit.
                 self._fail_excess_calls(backend, api.Outcome.NOT_SENT)
@@ -272,8 +273,8 @@
         would connect again and again to a backend that refuses connections while an earlier one is slow.
         """
         if outcome is api.Outcome.CONNECT_FAILED:
-            if backend.waiting:
-                self._fail_waiting_call(next(iter(backend.waiting)), backend, outcome)
+            if backend.waiting_calls:
+                self._fail_waiting_call(next(iter(backend.waiting_calls)), backend, outcome)
             self._connect_for_waiting_calls(backend)
             return
         self._fail_excess_calls(backend, outcome)
@@ -288,7 +289,7 @@
             return
         backend = connection.backend
         backend.idle_connections.append(connection)
-        if backend.waiting:
+        if backend.waiting_calls:
             self._schedule_reuse(backend)
 
     def connection_closed(self, connection: Connection) -> None:
