--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -145,9 +145,9 @@
             return
         self.call, call.connection = call, self
         call.written_ms = now = self.pool.clock.now()
-        time_left_header = b"" if call.is_probe else http1.time_left(call.deadline_at_ms - now)
+        time_left = b"" if call.is_probe else http1.time_left_header(call.deadline_at_ms - now)
         host = b"Host: %b\r\n" % self.backend.host if call.is_probe else b""
-        self.transport.write(b"%b%b%b\r\n%b" % (call.head, host, time_left_header, call.body))
+        self.transport.write(b"%b%b%b\r\n%b" % (call.head, host, time_left, call.body))
         if self.transport.is_closing():
             # The write failed at once, so nothing was sent.
             self.has_unwritten_data = True
@@ -161,12 +161,14 @@
             return
         try:
             response = self.reader.feed(data)
-        except http1.MalformedError:
+        except http1.MalformedMessageError:
             self._finish_call(UNREADABLE_RESPONSE_OUTCOME, None)
             return
         if response is not None:
             reader = self.reader
-            reusable = response.keep and reader.idle and not reader.surplus and not self.has_unwritten_data
+            reusable = (
+                response.keep_alive and reader.idle and not reader.has_trailing_data
+                and not self.has_unwritten_data)
             self._finish_call(outcome_of_response(response), response, reusable=reusable)
             return
         self.last_read_ms = self.pool.clock.now()
--- a/honeywharf/net/connection_pool.py
+++ b/honeywharf/net/connection_pool.py
@@ -8,7 +8,7 @@
 from honeywharf import interface as api
 from honeywharf.net.backend import Backend, Connection, PendingConnection
 from honeywharf.net.calls import Call
-from honeywharf.net.clock import TIMER_EARLY_MS, Clock
+from honeywharf.net.clock import TIMER_TOLERANCE_MS, Clock
 from honeywharf.net.config import Address
 from honeywharf.net.connect_times import ConnectTimes
 
@@ -182,7 +182,8 @@
         """Arrange to send waiting calls when the reuse delay of the next idle connection has passed."""
         if backend.idle_connections and backend.reuse_timer is None:
             due_ms = (
-                min(c.last_response_ms for c in backend.idle_connections) + REUSE_DELAY_MS + TIMER_EARLY_MS)
+                min(c.last_response_ms for c in backend.idle_connections)
+                + REUSE_DELAY_MS + TIMER_TOLERANCE_MS)
             wait_s = max(0.0, due_ms - self.clock.now()) / 1000.0
             backend.reuse_timer = self.loop.call_later(wait_s, self._reuse_timer_fired, backend)
 
@@ -202,7 +203,7 @@
             # A connection beside a slow one does not evict an idle connection.
             beside_slow = len(backend.pending_connections) >= len(backend.waiting_calls)
             if self.total_connections >= self.max_connections and (beside_slow or not self._evict_idle()):
-                # NOT_SENT, as the backend is not to blame for the proxy's connection limit.
+                # The outcome is NOT_SENT: the proxy's connection limit is not the backend's fault.
                 self._fail_excess_calls(backend, api.Outcome.NOT_SENT)
                 return
             self._start_connecting(backend)
@@ -237,7 +238,7 @@
     async def _connect(self, pending: PendingConnection, backend: Backend) -> None:
         """Open a connection.
 
-        No byte of a call has been sent when this fails, also when the proxy lacks a file descriptor for it.
+        When this fails, for example for lack of a file descriptor, no byte of a call has been sent.
         """
         connection = Connection(self, backend)
         outcome = api.Outcome.CONNECT_FAILED
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -291,7 +291,7 @@
             assert received_body == body
             assert headers[b"x-correlation-id"] == request_id.encode()
             assert headers[b"idempotency-key"] == f"key-{request_id}".encode()
-            time_left_ms = http1.duration(headers[b"x-time-left"])
+            time_left_ms = http1.parse_duration_ms(headers[b"x-time-left"])
             assert time_left_ms is not None
             assert 0.0 < time_left_ms < 4000.0
         await backend.stop()
@@ -520,16 +520,16 @@
             client.send("order")
             assert await client.read_status() == 200
             assert [e.outcome for e in harness.ended_attempts()] == [Outcome.ERROR, Outcome.OK]
-            # The connection of the first attempt is closed.
+            # The first attempt's connection was closed before the second attempt was sent.
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert len({r[1][b"idempotency-key"] for r in backend.requests}) == 1
         await backend.stop()
     run_with_timeout(main())
 
 
-@pytest.mark.parametrize("surplus", [make_response(200, b"another's"), b"noise"])
-def test_bytes_received_before_a_request_are_not_taken_for_its_response(surplus: bytes) -> None:
-    """The surplus bytes are still unread in the socket's buffer when the connection is to be reused."""
+@pytest.mark.parametrize("trailing_data", [make_response(200, b"another's"), b"noise"])
+def test_bytes_received_before_a_request_are_not_taken_for_its_response(trailing_data: bytes) -> None:
+    """The trailing data is still unread in the socket's buffer when the connection is to be reused."""
     async def main() -> None:
         backend = await Backend().start()
         loop = asyncio.get_running_loop()
@@ -541,7 +541,7 @@
         (writer,) = backend.writers
         backend_socket = writer.get_extra_info("socket")
         with socket.socket(fileno=os.dup(backend_socket.fileno())) as duplicate:
-            duplicate.send(surplus)  # This bypasses the loop, which reads nothing before `start`.
+            duplicate.send(trailing_data)  # This bypasses the loop, which reads nothing before `start`.
         second = RecordingCall(b"2")
         pool.start(second)
         await with_timeout(second.finished.wait())
@@ -552,7 +552,7 @@
     run_with_timeout(main())
 
 
-def test_a_connection_with_surplus_bytes_is_not_reused_and_its_backend_not_ejected() -> None:
+def test_a_connection_with_trailing_data_is_not_reused_and_its_backend_not_ejected() -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.scripted_responses = [
