--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -129,11 +129,11 @@
         self.file_descriptor = self.transport.get_extra_info("socket").fileno()
 
     def pause_writing(self) -> None:
-        """Part of the request is not written yet: if the connection is lost now, it was not executed."""
+        """Record that part of the request is not written: if the connection is lost now, it never ran."""
         self.has_unwritten_data = True
 
     def resume_writing(self) -> None:
-        """The whole request has been written to the socket."""
+        """Record that the whole request has been written to the socket."""
         self.has_unwritten_data = False
 
     def send_call(self, call: Call) -> None:
@@ -228,7 +228,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """The connection was lost or closed."""
+        """End the call, because the connection was lost."""
         if not self.closed:
             self._finish_call(Outcome.CONNECT_FAILED if self.has_unwritten_data else Outcome.RESET, None)
 
@@ -264,7 +264,7 @@
             duplicate.shutdown(socket.SHUT_RDWR)  # fails if the backend has already closed the connection
 
     def remove_from_pool(self) -> None:
-        """Remove the connection from the pool. Call this only once; later input is ignored."""
+        """Remove the connection from the pool. This must be called only once; later input is ignored."""
         self.closed = True
         self._reset_response_tracking()
         self.reader.close()
--- a/honeywharf/net/connection_pool.py
+++ b/honeywharf/net/connection_pool.py
@@ -116,7 +116,7 @@
             connection.close()
 
     def has_unwritten_data(self, call: Call) -> bool:
-        """Return whether part of the call is not written yet: if it is aborted now, it is not executed."""
+        """Return whether part of the call is not written yet; if so, a call aborted now is never executed."""
         connection = call.connection
         return call.awaiting_connection or (
             isinstance(connection, Connection) and connection.has_unwritten_data)
