--- a/honeywharf/balancer.py
+++ b/honeywharf/balancer.py
@@ -89,7 +89,7 @@
         elif isinstance(event, api.TimerFired):
             self._on_timer(event.token)
         elif isinstance(event, api.ResponseStarted) and event.request in self.requests:
-            self.requests[event.request].answered = True  # the client receives the stream itself
+            self.requests[event.request].is_done = True  # the client receives the stream itself
         while self.ready_keys:
             self._dispatch_next(self.ready_keys.popleft())
         return self.actions
@@ -111,7 +111,7 @@
         elif token == "wait":
             while self.queued_deadlines and self.queued_deadlines[0][0] <= self.now_ms:
                 request = self.requests.get(heapq.heappop(self.queued_deadlines)[1])
-                if request is not None and not request.attempts and not request.answered:
+                if request is not None and not request.attempts and not request.is_done:
                     self._give_up(request, api.GiveUpReason.NO_TIME)
 
     # The endpoint list.
@@ -279,7 +279,7 @@
 
     def _finish(self, request: Request) -> None:
         """Mark the request as answered, and remove it once none of its attempts is in flight."""
-        request.answered = True
+        request.is_done = True
         if any(a.active for a in request.attempts) or self.requests.pop(request.id, None) is None:
             return
         if request.key:
@@ -306,7 +306,7 @@
             self.key_queues[request.key].cooldown_until_ms = self.now_ms + self.settings.rules.key_cooldown_ms
             self.key_cooldowns.append((self.key_queues[request.key].cooldown_until_ms, request.key))
             self.actions.append(api.SetTimer(self.key_cooldowns[-1][0], "turn"))
-        if event.request_finished or request.answered:
+        if event.request_finished or request.is_done:
             self._finish(request)
         elif not any(a.active for a in request.attempts):
             self._retry(request, event.outcome)
@@ -370,7 +370,7 @@
     def _send_hedged(self, request: Request) -> None:
         """Send a hedged request for one whose call hangs, if its class and the retry budget allow it."""
         request_class, limits = request.request_class, self.settings.limits
-        if (request.answered or not limits.concurrent_attempts
+        if (request.is_done or not limits.concurrent_attempts
                 or request_class.ordered_by_key or request_class.stream
                 or len(request.attempts) >= limits.max_attempts or self.retry_tokens < 1.0
                 or any(a.active and not a.is_hung for a in request.attempts)
--- a/honeywharf/codec.py
+++ b/honeywharf/codec.py
@@ -246,7 +246,7 @@
 
 def _decode_rules(fields: JsonObject) -> api.Rules:
     return api.Rules(
-        answer_grace_ms=_number(fields, "graceToAnswerMs", 0.0),
+        response_grace_ms=_number(fields, "graceToAnswerMs", 0.0),
         drain_grace_ms=_number(fields, "stopSendingWithinMs", 1000.0),
         slow_start_share=_number(fields, "coldShare", 1.0),
         warm_up_ms=_number(fields, "warmAfterMs", 0.0),
--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -173,7 +173,7 @@
 class Rules:
     """The parameters of the rules on final answers, drains, slow start, discovery and ordered requests.
 
-    `answer_grace_ms`: how long after its deadline a request may still get its final answer.
+    `response_grace_ms`: how long after its deadline a request may still get its final answer.
     `drain_grace_ms`: how long a balancer may keep sending to an endpoint after the start of its drain.
     `slow_start_share`: the share of its capacity that a server has when it starts.
     `warm_up_ms`: the time in which that share grows to the whole capacity; 0 disables slow start.
@@ -183,7 +183,7 @@
     `key_cooldown_ms`: how long a key stays blocked after an attempt that may still be running.
     """
 
-    answer_grace_ms: float = 0.0
+    response_grace_ms: float = 0.0
     drain_grace_ms: float = 1000.0
     slow_start_share: float = 1.0
     warm_up_ms: float = 0.0
@@ -294,7 +294,7 @@
         require(not self.zone_names or self.zone in self.zone_names,
                 "the balancer's own zone is not among the zones")
         require(0 < self.rules.slow_start_share <= 1, "the slow start share must be above 0 and at most 1")
-        require(min(self.rules.warm_up_ms, self.rules.answer_grace_ms, self.rules.drain_grace_ms) >= 0,
+        require(min(self.rules.warm_up_ms, self.rules.response_grace_ms, self.rules.drain_grace_ms) >= 0,
                 "the warm-up time or a grace period is negative")
         require(self.rules.key_cooldown_ms >= 0, "the key cooldown is negative")
         require(self.rules.cold_overload_factor > 0, "the cold overload factor must be positive")
--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -164,7 +164,7 @@
 
     def summary(self) -> str:
         """How the list held stands, in a few words: its generation, its age, and the poll in flight."""
-        age_s = (self.clock.now() - self.freshness.last_known_current_ms) / 1000.0
+        age_s = (self.clock.now() - self.freshness.last_known_up_to_date_ms) / 1000.0
         age = f"{age_s:.2f} s" if age_s < float("inf") else "unknown"
         poll = f" {self._poll_figures(self.poll)}" if self.poll is not None else ""
         return (f"generation={self.directory.generation} endpoints={len(self.directory.endpoint_ids)} "
@@ -282,7 +282,7 @@
     def _answer_incomplete(self, poll: Poll) -> None:
         """Have nothing sent until the rest of a slow answer has come, or another one in its place."""
         began_ms = poll.answer_began_ms
-        newer = began_ms is not None and self.freshness.last_known_current_ms > began_ms
+        newer = began_ms is not None and self.freshness.last_known_up_to_date_ms > began_ms
         if not self.expiry.overdue and not newer:
             self._expire(f"an answer has come in part, on {self._poll_figures(poll)}")
 
@@ -294,7 +294,7 @@
         event = self.directory.apply(orjson.loads(response.body), api.ListKind.FULL if poll.full else None)
         unchanged = (
             event.kind is api.ListKind.CHANGES and not event.endpoints and event.generation == generation)
-        self.freshness.record_answer(
+        self.freshness.record_response(
             poll.sent_ms, poll.wait_ms, unchanged=unchanged, now_ms=self.clock.now())
         return replace(event, expires_at_ms=self.freshness.expires_ms)
 
--- a/honeywharf/net/list_expiry.py
+++ b/honeywharf/net/list_expiry.py
@@ -34,12 +34,12 @@
         """Discovery has had nothing newer than the list held up to now, as far as that is usable at all."""
         now = self.clock.now()
         if not self.overdue and self.freshness.is_usable(now):
-            self.freshness.mark_current(now)
+            self.freshness.mark_up_to_date(now)
             self._changed()
 
     def confirm_at_end(self) -> None:
         """The same where its time is just over, and no time has passed for discovery meanwhile."""
-        self.freshness.mark_current(self.clock.now())
+        self.freshness.mark_up_to_date(self.clock.now())
         self._changed()
 
     def move(self) -> None:
--- a/honeywharf/policy/list_freshness.py
+++ b/honeywharf/policy/list_freshness.py
@@ -44,27 +44,27 @@
     All times are milliseconds on the caller's clock. A list of unknown age is never usable.
     """
 
-    def __init__(self, ask_every_ms: float = 0.0) -> None:
-        # A proxy that has no watch and has not polled for `ask_every_ms` is deemed notified of everything
+    def __init__(self, poll_interval_ms: float = 0.0) -> None:
+        # A proxy that has no watch and has not polled for `poll_interval_ms` is deemed notified of everything
         # that discovery listed that long ago. 0 means that the settings have no such rule.
-        notified_after_ms = max(MAX_AGE_FLOOR_MS, ask_every_ms) if ask_every_ms > 0 else MAX_AGE_MS
+        notified_after_ms = max(MAX_AGE_FLOOR_MS, poll_interval_ms) if poll_interval_ms > 0 else MAX_AGE_MS
         self.max_age_ms = min(MAX_AGE_MS, notified_after_ms)
-        self.last_known_current_ms = -math.inf  # discovery had nothing newer at this time
+        self.last_known_up_to_date_ms = -math.inf  # discovery had nothing newer at this time
         self.expires_ms = -math.inf  # the proxy is deemed notified then of changes that the list may lack
 
-    def mark_current(self, at_ms: float) -> None:
+    def mark_up_to_date(self, at_ms: float) -> None:
         """Record that discovery had nothing newer than the current list at that time."""
-        self.last_known_current_ms = max(self.last_known_current_ms, at_ms)
+        self.last_known_up_to_date_ms = max(self.last_known_up_to_date_ms, at_ms)
         self.expires_ms = max(self.expires_ms, at_ms + self.max_age_ms)
 
-    def record_answer(self, sent_ms: float, wait_ms: float, *, unchanged: bool, now_ms: float) -> None:
+    def record_response(self, sent_ms: float, wait_ms: float, *, unchanged: bool, now_ms: float) -> None:
         """Record the answer to a poll, which holds at least what discovery had when the poll was sent.
 
         Discovery writes an answer without changes once the wait is over, so such an answer proves that the
         list was current until then. If it arrives earlier, it proves this only for the time of the poll.
         """
         waited_in_full = unchanged and now_ms >= sent_ms + wait_ms
-        self.mark_current(sent_ms + wait_ms if waited_in_full else sent_ms)
+        self.mark_up_to_date(sent_ms + wait_ms if waited_in_full else sent_ms)
 
     def on_address_change(self, now_ms: float) -> None:
         """Make the list expire sooner, because discovery has a new address from now on."""
@@ -77,10 +77,10 @@
     def is_watch_active(self, now_ms: float) -> bool:
         """Return whether a poll sent now is certain to continue the watch.
 
-        `last_known_current_ms` is the earliest time at which discovery can have written its last answer, so
-        the gap is measured from there.
+        `last_known_up_to_date_ms` is the earliest time at which discovery can have written its last response,
+        so the gap is measured from there.
         """
-        return now_ms <= self.last_known_current_ms + MAX_POLL_GAP_MS
+        return now_ms <= self.last_known_up_to_date_ms + MAX_POLL_GAP_MS
 
     def long_poll_timeout_ms(self, sent_ms: float, wait_ms: float) -> float:
         """Return the timeout of a poll that was sent to continue a watch."""
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -61,7 +61,7 @@
     worth: float
     limit_share: float = 1.0  # the part of a zone's concurrency limit that this request may use
     attempts: list[Attempt] = field(default_factory=list)
-    answered: bool = False
+    is_done: bool = False
 
     def first_possibly_run_attempt(self) -> Attempt | None:
         """Return the first attempt that a server may have run, if any."""
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -55,7 +55,7 @@
             max_concurrent_streams=2, idle_timeout_ms=5000.0, connect_timeout_ms=250.0,
             cpu_us_per_s=900.0, cpu_us_per_request=3.5),
         rules=api.Rules(
-            answer_grace_ms=20.0, drain_grace_ms=500.0, slow_start_share=0.15, warm_up_ms=24000.0,
+            response_grace_ms=20.0, drain_grace_ms=500.0, slow_start_share=0.15, warm_up_ms=24000.0,
             cold_overload_factor=4.0, cold_overload_window_ms=1000.0, poll_interval_ms=9000.0,
             key_cooldown_ms=120.0),
         score_costs=api.ScoreCosts(
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -42,13 +42,13 @@
 def test_the_age_of_a_list_starts_at_the_poll_or_if_unchanged_at_the_end_of_the_wait() -> None:
     freshness = ListFreshness()
     assert not freshness.is_usable(0.0)
-    freshness.record_answer(1000.0, 0.0, unchanged=True, now_ms=4400.0)  # queued at discovery
+    freshness.record_response(1000.0, 0.0, unchanged=True, now_ms=4400.0)  # queued at discovery
     assert freshness.expires_ms == 1000.0 + MAX_AGE_MS
-    freshness.record_answer(4400.0, 1000.0, unchanged=True, now_ms=4900.0)  # answered before the wait ended
+    freshness.record_response(4400.0, 1000.0, unchanged=True, now_ms=4900.0)  # answered before the wait ended
     assert freshness.expires_ms == 4400.0 + MAX_AGE_MS
-    freshness.record_answer(5000.0, 1000.0, unchanged=True, now_ms=9000.0)  # 3 s in transit
+    freshness.record_response(5000.0, 1000.0, unchanged=True, now_ms=9000.0)  # 3 s in transit
     assert freshness.expires_ms == 6000.0 + MAX_AGE_MS
-    freshness.record_answer(9000.0, 4000.0, unchanged=False, now_ms=9800.0)
+    freshness.record_response(9000.0, 4000.0, unchanged=False, now_ms=9800.0)
     assert freshness.expires_ms == 9000.0 + MAX_AGE_MS
     assert freshness.is_usable(9000.0 + MAX_AGE_MS - 1.0)
     assert not freshness.is_usable(9000.0 + MAX_AGE_MS)
@@ -58,7 +58,7 @@
     ("ask_every_ms", "max_age_ms"), [(0.0, MAX_AGE_MS), (1e4, MAX_AGE_MS), (3000.0, 3000.0), (50.0, 2000.0)])
 def test_a_poll_finishes_waiting_before_the_list_expires(ask_every_ms: float, max_age_ms: float) -> None:
     freshness = ListFreshness(ask_every_ms)
-    freshness.mark_current(100_000.0)
+    freshness.mark_up_to_date(100_000.0)
     assert freshness.expires_ms == 100_000.0 + max_age_ms
     for age_ms in range(0, int(max_age_ms), 50):
         wait_ms = freshness.wait_ms(100_000.0 + age_ms)
@@ -70,7 +70,7 @@
     """A poll that may have started a new watch can queue at discovery, so its timeout is longer."""
     for age_ms in range(0, 4500, 50):
         freshness = ListFreshness()
-        freshness.mark_current(0.0)
+        freshness.mark_up_to_date(0.0)
         wait_ms = freshness.wait_ms(age_ms)
         timeout_ms = freshness.long_poll_timeout_ms(age_ms, wait_ms)
         assert timeout_ms >= wait_ms + 500.0
--- a/tests/test_retry_safety.py
+++ b/tests/test_retry_safety.py
@@ -391,7 +391,7 @@
 
     def _enqueue(self, request: Any) -> None:
         super()._enqueue(request)
-        if not request.attempts and not request.answered:
+        if not request.attempts and not request.is_done:
             self._start_attempt(request)
 
 
