--- a/honeywharf/balancer.py
+++ b/honeywharf/balancer.py
@@ -1,10 +1,11 @@
 """The balancer: events in, actions out. honeywharf/interface.py defines the types of both.
 
-A call goes to a uniformly random usable server of the balancer's own zone, and to any zone only when the
-own zone has no usable server. The modules of honeywharf/policy/ decide which servers are usable: host_set.py
-keeps the listed servers, outlier.py ejects failing ones, and concurrency.py limits the calls in flight. This
-module handles the events in order, chooses a server for each attempt, and decides how a request goes on when
-an attempt fails. Its sections are the endpoint list, the choice of a server, requests and outcomes.
+A call goes to a random usable server of the local zone, or of any zone if the local zone has no usable server
+with capacity. All servers get an equal share of the calls, except those that warm up or are slow, which get a
+smaller one. The modules of honeywharf/policy/ decide which servers are usable: host_set.py keeps the listed
+servers, outlier.py ejects failing ones, and concurrency.py limits the calls in flight. This module handles
+the events in order, chooses a server for each attempt, and decides how a request goes on when an attempt
+fails. Its sections are the endpoint list, the choice of a server, and requests.
 """
 
 from __future__ import annotations
@@ -22,33 +23,41 @@
 from honeywharf.policy.request import Attempt, KeyQueue, Request
 from honeywharf.policy.server import Server
 
-# Random picks per level before the level counts as empty. If half of its servers are usable, 8 picks find one
-# 255 times in 256.
+# Random picks from one priority level before the balancer goes on to the next level. If half of the servers
+# of a level can get the request, 8 picks find one of them 255 times in 256.
 MAX_PICKS_PER_LEVEL = 8
-# The pause after a failed watch is limited, because a long pause would be enough to let the list expire. The
-# limit grows by about the time that discovery takes to serve one balancer, so that it can serve all of them.
-WATCH_PAUSE_PER_BALANCER_MS = 50.0
-MIN_WATCH_PAUSE_LIMIT_MS = 500.0
-# Retry tokens that a request earns. Retries add at most a tenth to the load when every attempt fails.
+# The maximum backoff after a failed watch. It is short, because a long backoff alone could let the list
+# expire. It is proportional to the number of balancers, with about the time that discovery needs to serve one
+# of them as the factor, so that discovery can serve them all. It is never below the second value.
+MAX_WATCH_BACKOFF_PER_BALANCER_MS = 50.0
+MAX_WATCH_BACKOFF_FLOOR_MS = 500.0
+# Retry tokens that each request adds to the retry budget, so that retries add at most a tenth to the load
+# when every attempt fails.
 RETRY_TOKENS_PER_REQUEST = 0.1
-MAX_RETRY_TOKENS = 5.0  # retries that a balancer with little traffic may make at once
+MAX_RETRY_TOKENS = 5.0  # the most retries that the balancer can make at once after a time without any
 # The retry of a rejected attempt costs less than a whole token: a rejection causes little load, while giving
-# up wastes the work that the outer tiers have done.
+# up wastes the work that the downstream tiers have done.
 REJECTED_RETRY_TOKENS = 0.25
-#: Outcomes of attempts that did not reach a server. They cause no load and say nothing about its health.
-UNREACHED_OUTCOMES = frozenset({
+#: Outcomes of attempts that are taken to have caused no load. A retry after them costs no retry token, and
+#: they leave the concurrency limit of the zone unchanged. What they say of the server's health is for
+#: outlier.py.
+NO_LOAD_OUTCOMES = frozenset({
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.NOT_SENT, api.Outcome.CANCELLED})
 # Range of the delay after which a refused client may retry: responses take about that long under overload.
 RETRY_AFTER_RANGE_MS = (200.0, 600.0)
-# The part of its aim that a response may take before its zone counts as overloaded. The rest is a margin for
-# random variation.
-LATENCY_TARGET = 0.5
-# The part of a concurrency limit that is open to tenants over their quota. The rest is kept for the others.
-OVER_QUOTA_ADMISSION = 0.25
+# The target latency of a response, as a fraction of its class's aim. A zone whose responses take longer
+# counts as overloaded. The rest of the aim is a margin for random variation.
+LATENCY_TARGET_FRACTION = 0.5
+# The fraction of a concurrency limit that is open to tenants over their quota. The rest is kept for the
+# others.
+OVER_QUOTA_LIMIT_FRACTION = 0.25
 
 
 class Balancer:
-    """Decides for one balancer. It has no clock and does no I/O: time and events come from the caller."""
+    """Makes all decisions of one balancer.
+
+    It has no clock and does no I/O: time and events come from the embedding program.
+    """
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
@@ -57,11 +66,12 @@
         self.host_set = HostSet(settings, self.random)
         self.outliers = OutlierDetector(self.host_set, self.random)
         self.requests: dict[str, Request] = {}
-        self.key_queues: dict[str, KeyQueue] = {}  # all ordered classes share one key space
-        # The end of each key's cooldown. The deque is sorted by time, as all cooldowns are equally long.
+        self.key_queues: dict[str, KeyQueue] = {}  # by ordering key; all ordered classes share them
+        # The end of each cooldown and its ordering key. The deque is sorted by time, because all cooldowns
+        # are equally long.
         self.key_cooldowns: deque[tuple[float, str]] = deque()
-        self.ready_keys: deque[str] = deque()  # keys whose first request may be sent now
-        self.queued_deadlines: list[tuple[float, str]] = []  # a heap of the deadlines of queued requests
+        self.ready_keys: deque[str] = deque()  # ordering keys whose first request may be sent now
+        self.queued_deadlines: list[tuple[float, str]] = []  # a heap of deadlines and ids of queued requests
         self.tenants = {t.name: t for t in settings.tenants}
         self.tenant_quotas: dict[str, TenantQuota] = {}
         self.mean_worth = max(c.worth for c in settings.classes) or 1.0
@@ -89,14 +99,14 @@
         elif isinstance(event, api.TimerFired):
             self._on_timer(event.token)
         elif isinstance(event, api.ResponseStarted) and event.request in self.requests:
-            self.requests[event.request].is_done = True  # the client receives the stream itself
+            self.requests[event.request].is_done = True  # the stream is the final response
         while self.ready_keys:
             self._dispatch_next(self.ready_keys.popleft())
         return self.actions
 
     def summary(self) -> str:
-        """Describe each zone for the log, in a length that does not depend on the number of its servers."""
-        # The number of usable servers follows from `spare`, which is 3 * usable - 2 * ready.
+        """Describe each zone for the log, in a text whose length does not depend on the number of servers."""
+        # The number of usable servers follows from `ejection_margin`, which is 3 * usable - 2 * ready.
         return " ".join(
             f"{name or '-'}[usable={(z.ejection_margin + 2 * z.ready_servers) // 3}/{z.ready_servers} "
             f"calls={z.in_flight} limit={z.limit * z.capacity:.1f} lateness={z.latency_ratio:.2f}]"
@@ -105,10 +115,10 @@
     def _on_timer(self, token: str) -> None:
         if token == "watch":
             self.actions.append(api.WatchEndpoints())
-        elif token == "turn":
+        elif token == "turn":  # the cooldown of an ordering key is over
             while self.key_cooldowns and self.key_cooldowns[0][0] <= self.now_ms:
                 self.ready_keys.append(self.key_cooldowns.popleft()[1])
-        elif token == "wait":
+        elif token == "wait":  # the deadline of a queued request has passed
             while self.queued_deadlines and self.queued_deadlines[0][0] <= self.now_ms:
                 request = self.requests.get(heapq.heappop(self.queued_deadlines)[1])
                 if request is not None and not request.attempts and not request.is_done:
@@ -117,7 +127,7 @@
     # The endpoint list.
 
     def _schedule_watch(self, max_delay_ms: float) -> None:
-        """Watch the list after a random delay, so that balancers do not all call discovery at once."""
+        """Set a timer to watch the list. Its delay is random, so that balancers don't all poll at once."""
         if self.settings.polled_discovery:
             self.actions.append(api.SetTimer(self.now_ms + self.random.uniform(0.0, max_delay_ms), "watch"))
 
@@ -126,53 +136,55 @@
             self.failed_watches += 1
             interval_ms = self.settings.rules.poll_interval_ms
             limit_ms = max(
-                MIN_WATCH_PAUSE_LIMIT_MS, WATCH_PAUSE_PER_BALANCER_MS * self.settings.balancer_count)
+                MAX_WATCH_BACKOFF_FLOOR_MS, MAX_WATCH_BACKOFF_PER_BALANCER_MS * self.settings.balancer_count)
             self._schedule_watch(min(interval_ms, limit_ms, interval_ms / 10 * 2 ** self.failed_watches))
             return
         self.failed_watches, self.list_expires_at_ms = 0, event.expires_at_ms
         self.host_set.update(event, self.now_ms)
 
     def _is_list_expired(self) -> bool:
-        """Whether the current list has expired by the clock; a timer for this could be late."""
+        """Whether the current list has expired. The clock decides, because a timer might fire late."""
         return self.now_ms >= self.list_expires_at_ms
 
     # The choice of a server.
 
     def _choose_server(self, request: Request) -> Server | None:
-        """Choose a random server of the first level in which a few random picks find a usable one."""
+        """Choose a random server from the first priority level in which a few picks find a suitable one."""
         self.host_set.refresh_if_due(self.now_ms)
         if self._is_list_expired():
-            # Any listed server may have begun to drain or be gone, and the balancer is deemed notified of it.
-            # That a server responds proves nothing, because draining servers accept calls too.
+            # Any listed server may have begun to drain or be gone, and the balancer is treated as informed of
+            # it. That a server responds proves nothing, because draining servers accept calls too.
             return None
-        own_zone, draw = self.host_set.zones.get(self.settings.zone), self.random.random()
+        local_zone, random_fraction = self.host_set.zones.get(self.settings.zone), self.random.random()
         for priority, level in enumerate(self.host_set.priority_levels):
-            own_zone_full = own_zone is not None and not own_zone.admits(request.limit_share, draw)
-            # Inner tiers send all the same: their refusal would only cause a retry in the tier before.
-            if priority == 0 and own_zone_full and self.settings.tier == 0:
+            local_zone_at_limit = (
+                local_zone is not None and not local_zone.admits(request.limit_share, random_fraction))
+            # In other tiers than the first, the balancer sends the call even if the zone is at its
+            # concurrency limit: a refusal would only cause a retry in the downstream tier.
+            if priority == 0 and local_zone_at_limit and self.settings.tier == 0:
                 continue
-            server = self._pick_from_level(level, priority, request, draw)
+            server = self._pick_from_level(level, priority, request, random_fraction)
             if server is not None:
                 return server
         return None
 
     def _pick_from_level(
-        self, level: list[Server], priority: int, request: Request, draw: float,
+        self, level: list[Server], priority: int, request: Request, random_fraction: float,
     ) -> Server | None:
-        """Pick random servers of a level until one is usable and has capacity, a few times at most."""
-        if request.first_possibly_run_attempt() is not None:  # the retry may be limited to some servers
+        """Pick random servers of a level, a few at most, until one may get the request and has capacity."""
+        if request.first_attempt_that_may_have_run() is not None:  # only some servers may be safe for a retry
             level = [s for s in level if request.may_send_to(s.endpoint, self.now_ms)]
         last_server = request.attempts[-1].server if request.attempts else None
-        sheds_load = self.settings.tier == 0  # in inner tiers the last level ignores the concurrency limits
+        sheds_load = self.settings.tier == 0  # in other tiers the last level ignores the concurrency limits
         for _ in range(MAX_PICKS_PER_LEVEL if level else 0):
             server = level[int(self.random.random() * len(level))]
             if (server is last_server and len(level) > 1) or (
                     server.warming_up and self.now_ms < server.next_warm_up_call_ms):
                 continue
             zone = self.host_set.zones[server.endpoint.zone]
-            if priority > 0 and sheds_load and not zone.admits(request.limit_share, draw):
+            if priority > 0 and sheds_load and not zone.admits(request.limit_share, random_fraction):
                 continue
-            if (priority < 2 or sheds_load) and not zone.admits(request.limit_share, draw, server):
+            if (priority < 2 or sheds_load) and not zone.admits(request.limit_share, random_fraction, server):
                 continue
             if priority < 2 and not self._is_healthy_for(server, request):
                 continue
@@ -181,10 +193,10 @@
         return None
 
     def _is_healthy_for(self, server: Server, request: Request) -> bool:
-        """Whether the server may get the request, by its ejections.
+        """Whether the server's ejections allow it to get the request.
 
-        After an ejection it is half-open: it gets one trial call at a time, and no request that may run only
-        once. A server that is ejected for one class gets no calls of that class.
+        After an ejection the server is half-open: it gets one trial call at a time, and no request that may
+        run only once. A server that is ejected for one class gets no calls of that class.
         """
         if server.consecutive_ejections and (
             server.active_calls or request.request_class.idempotency is api.Idempotency.ONCE
@@ -211,7 +223,7 @@
             self._start_attempt(request)
 
     def _enqueue(self, request: Request) -> None:
-        """Queue the request behind others of its key, and send it now if it is the first of them."""
+        """Queue the request behind others with its ordering key, and send it now if it is the first."""
         queue = self.key_queues.setdefault(request.key, KeyQueue())
         queue.queued_requests.append(request)
         if queue.queued_requests[0] is request and queue.cooldown_until_ms <= self.now_ms:
@@ -221,7 +233,7 @@
             self.actions.append(api.SetTimer(request.deadline_at_ms, "wait"))
 
     def _dispatch_next(self, key: str) -> None:
-        """Send the first queued request of a key, unless it is already sent or the key is in cooldown."""
+        """Send the first queued request of an ordering key, unless it is sent or the key is in cooldown."""
         queue = self.key_queues.get(key)
         if queue is None or queue.cooldown_until_ms > self.now_ms:
             return  # a timer ends the cooldown and dispatches the key again
@@ -231,7 +243,7 @@
             self._start_attempt(queue.queued_requests[0])
 
     def _set_admission(self, request: Request, tenant: str) -> None:
-        """Set the worth of the request, and the part of a zone's concurrency limit that is open to it."""
+        """Set the worth of the request, and the fraction of a zone's concurrency limit that is open to it."""
         request.limit_share = min(1.0, (request.worth / self.mean_worth) ** WORTH_EXPONENT)
         quota = self.tenant_quotas.get(tenant)
         if quota is None and tenant in self.tenants:
@@ -239,7 +251,7 @@
             quota = self.tenant_quotas[tenant] = TenantQuota(share_per_s / 1000.0, share_per_s, self.now_ms)
         if quota is not None and not quota.try_take(self.now_ms):
             request.worth *= self.settings.over_quota_worth_factor
-            request.limit_share *= OVER_QUOTA_ADMISSION
+            request.limit_share *= OVER_QUOTA_LIMIT_FRACTION
         self.mean_worth += (request.worth - self.mean_worth) / 100.0
 
     def _start_attempt(self, request: Request) -> None:
@@ -278,7 +290,7 @@
         self._finish(request)
 
     def _finish(self, request: Request) -> None:
-        """Mark the request as answered, and remove it once none of its attempts is in flight."""
+        """Mark the request as done, and remove it once none of its attempts is in flight."""
         request.is_done = True
         if any(a.active for a in request.attempts) or self.requests.pop(request.id, None) is None:
             return
@@ -297,12 +309,14 @@
         attempt.written_ms = attempt.sent_ms + event.time_to_send_ms
         attempt.server.active_calls.pop(attempt, None)
         attempt.release()
-        # The outcome is out of date if the server was ejected, or the call deemed hung, since it was sent.
+        # The outcome is ignored if the server was ejected, or the call was found to be hung, after the call
+        # was sent: the server has been judged already.
         if attempt.ejections == attempt.server.ejections and not attempt.is_hung:
             self._update_zone_limit(attempt.zone, request, event)
             self.outliers.record(attempt.server, request, event, self.now_ms)
         if request.key and event.outcome in api.MAYBE_RUNNING_OUTCOMES:
-            # The endpoint may still be executing the request. The next one waits, to keep the order.
+            # The endpoint may still be executing the request. The next request with this ordering key waits,
+            # to keep the order.
             self.key_queues[request.key].cooldown_until_ms = self.now_ms + self.settings.rules.key_cooldown_ms
             self.key_cooldowns.append((self.key_queues[request.key].cooldown_until_ms, request.key))
             self.actions.append(api.SetTimer(self.key_cooldowns[-1][0], "turn"))
@@ -310,28 +324,29 @@
             self._finish(request)
         elif not any(a.active for a in request.attempts):
             self._retry(request, event.outcome)
-        else:  # the attempts in flight hang; one may still succeed, so there is no final answer yet
+        else:  # another attempt is in flight and may still succeed, so there is no final response yet
             self._send_hedged(request)
         if event.outcome is api.Outcome.OK and not attempt.is_hung:
             self._detect_hung_calls(attempt, request.request_class)
 
     def _update_zone_limit(self, zone: ZoneLimiter, request: Request, event: api.AttemptEnded) -> None:
-        """Adapt the concurrency limit of the zone to how late the attempt ended."""
+        """Adapt the concurrency limit of the zone to the latency of an attempt."""
         request_class = request.request_class
-        # Lateness is relative to the aim, because the shortest latencies seen are far below the usual ones. A
-        # rejection counts as the greatest lateness.
+        # The target is a fraction of the aim and not derived from the shortest latencies seen, because those
+        # are far below the usual ones. A rejection counts as the greatest latency ratio.
         rejected = event.outcome is api.Outcome.REJECTED
-        lateness = 3.0 if rejected else event.response_time_ms / (LATENCY_TARGET * request_class.aim_ms)
-        # An early failure (a refused connection, an error, a short deadline) is no sign of spare capacity, so
-        # only a success counts when it was early. Other outcomes count only when they were late.
-        if event.outcome is api.Outcome.OK or (event.outcome not in UNREACHED_OUTCOMES and lateness > 1.0):
-            zone.adapt_limit(lateness, self.now_ms)
+        latency_ratio = (
+            3.0 if rejected else event.response_time_ms / (LATENCY_TARGET_FRACTION * request_class.aim_ms))
+        # An early failure (a refused connection, an error, a short deadline) is no sign of spare capacity. A
+        # success therefore always counts, and other outcomes only if they took longer than the target.
+        if event.outcome is api.Outcome.OK or (event.outcome not in NO_LOAD_OUTCOMES and latency_ratio > 1.0):
+            zone.adapt_limit(latency_ratio, self.now_ms)
 
     def _retry(self, request: Request, outcome: api.Outcome) -> None:
-        """Retry within the rules and the retry budget, or give up."""
+        """Retry the request if the limit on attempts and the retry budget allow it, otherwise give up."""
         cost = (
             REJECTED_RETRY_TOKENS if outcome is api.Outcome.REJECTED
-            else 0.0 if outcome in UNREACHED_OUTCOMES else 1.0)
+            else 0.0 if outcome in NO_LOAD_OUTCOMES else 1.0)
         if len(request.attempts) >= self.settings.limits.max_attempts:
             self._give_up(request, api.GiveUpReason.NO_ATTEMPT_LEFT)
         elif self.retry_tokens < cost:
@@ -340,22 +355,22 @@
             self.retry_tokens -= cost
             self._start_attempt(request)
 
-    def _detect_hung_calls(self, answered: Attempt, request_class: api.RequestClass) -> None:
-        """Find the hung calls of a server that has just answered a later call in the usual time.
+    def _detect_hung_calls(self, completed: Attempt, request_class: api.RequestClass) -> None:
+        """Find the hung calls of a server that has just completed a later call in the usual time.
 
-        Such a call takes far longer than usual, because it was lost on the way or forgotten by the server. If
+        A hung call takes far longer than usual, because it was lost on the way or forgotten by the server. If
         it were not detected, it would count against the limit of its zone until its timeout, so that calls
-        are refused although servers are idle, and its request would fail. Where the work differs much within
-        a class, long calls may be taken for hung ones and run twice.
+        are refused although servers are idle, and its request would fail. If the work differs much within a
+        class, long calls may be taken for hung ones and run twice.
         """
         latency = self.outliers.latency
-        if (self.now_ms - answered.sent_ms > latency.slow_threshold_ms(request_class.name)
+        if (self.now_ms - completed.sent_ms > latency.slow_threshold_ms(request_class.name)
                 or not latency.has_enough_samples(request_class.name)):
             return
         hung = []
-        for call in answered.server.active_calls:
+        for call in completed.server.active_calls:
             request = self.requests.get(call.request)
-            if request is None or call.sent_ms >= answered.sent_ms:
+            if request is None or call.sent_ms >= completed.sent_ms:
                 break
             if self.now_ms - call.sent_ms > latency.hung_threshold_ms(request.request_class.name):
                 hung.append((call, request))
@@ -368,7 +383,10 @@
             self._send_hedged(request)
 
     def _send_hedged(self, request: Request) -> None:
-        """Send a hedged request for one whose call hangs, if its class and the retry budget allow it."""
+        """Send a hedged request, a second concurrent attempt, for a request whose calls all hang.
+
+        It is sent only if the request's class, the limit on attempts and the retry budget allow it.
+        """
         request_class, limits = request.request_class, self.settings.limits
         if (request.is_done or not limits.concurrent_attempts
                 or request_class.ordered_by_key or request_class.stream
--- a/honeywharf/codec.py
+++ b/honeywharf/codec.py
@@ -42,7 +42,7 @@
     "gone": api.EndpointState.GONE,
 }
 #: Values of the setting `idempotency` of a request class.
-EFFECT_BY_NAME = {
+IDEMPOTENCY_BY_NAME = {
     "repeatable": api.Idempotency.REPEATABLE,
     "by_key": api.Idempotency.KEYED,
     "once": api.Idempotency.ONCE,
@@ -54,13 +54,13 @@
     "cell": api.DedupeScope.CELL,
 }
 #: Values of the setting `how` in the group `report`.
-REPORTS_BY_NAME = {
+LOAD_REPORTING_BY_NAME = {
     "piggyback": api.LoadReporting.IN_RESPONSES,
     "pull": api.LoadReporting.BY_PROBE,
     "silent": api.LoadReporting.NONE,
 }
 #: Values of the setting `weightSource`.
-SIZES_BY_NAME = {
+WEIGHT_SOURCE_BY_NAME = {
     "silent": api.WeightSource.NONE,
     "nominal": api.WeightSource.REGISTERED,
     "rough": api.WeightSource.APPROXIMATE,
@@ -185,7 +185,7 @@
         min_event_interval_ms=_number(fields, "quantumMs", 0.0),
         domain=_string(fields, "domainType", ""),
         machine_types=_string_list(fields, "models"),
-        weight_source=_enum_value(SIZES_BY_NAME, fields, "weightSource", api.WeightSource.REGISTERED),
+        weight_source=_enum_value(WEIGHT_SOURCE_BY_NAME, fields, "weightSource", api.WeightSource.REGISTERED),
         worth_per_work_unit=_string(fields, "countedBy", "request") == "work",
         polled_discovery=_string(fields, "discovery", "push") == "ask",
         propagates_deadline=_boolean(family, "passesDeadline"),
@@ -195,7 +195,7 @@
         load_report_fields=tuple(
             REPORT_FIELD_BY_NAME.get(name, name) for name in _string_list(report, "fields")
         ),
-        load_reporting=_enum_value(REPORTS_BY_NAME, report, "how", api.LoadReporting.NONE),
+        load_reporting=_enum_value(LOAD_REPORTING_BY_NAME, report, "how", api.LoadReporting.NONE),
         classes=tuple(_decode_request_class(profile) for profile in _object_list(fields, "profiles")),
         tenants=tuple(
             api.Tenant(
@@ -205,8 +205,8 @@
         ),
         limits=_decode_limits(_object(fields, "bounds")),
         rules=_decode_rules(_object(fields, "contract")),
-        score_costs=_decode_prices(_object(fields, "prices")),
-        score_weights=_decode_goal(_object(fields, "goal")),
+        score_costs=_decode_score_costs(_object(fields, "prices")),
+        score_weights=_decode_score_weights(_object(fields, "goal")),
     )
 
 
@@ -215,7 +215,7 @@
         name=_string(fields, "name"),
         aim_ms=_number(fields, "aimMs"),
         deadline_ms=_number(fields, "deadlineMs"),
-        idempotency=_enum_value(EFFECT_BY_NAME, fields, "idempotency"),
+        idempotency=_enum_value(IDEMPOTENCY_BY_NAME, fields, "idempotency"),
         dedupe_scope=_enum_value(DEDUPE_SCOPE_BY_NAME, fields, "group", api.DedupeScope.ALL),
         dedupe_window_ms=_number(fields, "windowMs", 0.0),
         worth=_number(fields, "worth", 1.0),
@@ -257,7 +257,7 @@
     )
 
 
-def _decode_prices(fields: JsonObject) -> api.ScoreCosts:
+def _decode_score_costs(fields: JsonObject) -> api.ScoreCosts:
     return api.ScoreCosts(
         cross_zone=_number(fields, "crossZone", 0.0),
         waste=_number(fields, "waste", 0.0),
@@ -273,7 +273,7 @@
     )
 
 
-def _decode_goal(fields: JsonObject) -> api.ScoreWeights:
+def _decode_score_weights(fields: JsonObject) -> api.ScoreWeights:
     return api.ScoreWeights(
         overall=_number(fields, "whole", 1.0),
         worst_window=_number(fields, "worstWindow", 0.0),
@@ -312,7 +312,7 @@
     )
 
 
-def _decode_attempt_opened(fields: JsonObject) -> api.Event:
+def _decode_response_started(fields: JsonObject) -> api.Event:
     return api.ResponseStarted(
         _string(fields, "ref"),
         _integer(fields, "shot"),
@@ -353,7 +353,7 @@
 EVENT_DECODERS: dict[str, Callable[[JsonObject], api.Event]] = {
     "WorkItem": _decode_request_arrived,
     "Ended": _decode_attempt_ended,
-    "Opened": _decode_attempt_opened,
+    "Opened": _decode_response_started,
     "Expired": lambda fields: api.RequestAbandoned(_string(fields, "ref")),
     "Wake": lambda fields: api.TimerFired(_string(fields, "ctx")),
     "Probed": _decode_probe_ended,
--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -23,7 +23,7 @@
 class ListKind(Enum):
     """How an EndpointsListed event relates to the current endpoint list."""
 
-    CHANGES = "changes"  # lists the endpoints that changed
+    CHANGES = "changes"  # lists only the endpoints that changed
     FULL = "full"  # replaces the current list
     CACHED = "cached"  # replaces the current list, from a cached copy that may be out of date
     FAILED = "failed"  # the request to discovery failed, and the current list stays
@@ -33,12 +33,12 @@
     """Whether a request may be executed more than once."""
 
     REPEATABLE = "repeatable"  # it may be repeated anywhere
-    KEYED = "keyed"  # endpoints that share its deduplication scope drop repeats within a window
+    KEYED = "keyed"  # it has an idempotency key: endpoints of its deduplication scope drop repeats of it
     ONCE = "once"  # it must not be repeated once it may have been executed
 
 
 class DedupeScope(Enum):
-    """Which endpoints recognize and drop a repeat of a keyed request that one of them has received."""
+    """Which endpoints recognize and drop a repeat of a KEYED request that one of them has received."""
 
     ALL = "all"
     ZONE = "zone"
@@ -79,7 +79,7 @@
 class GiveUpReason(Enum):
     """Why the balancer ends a request without a further attempt."""
 
-    LIST_EXPIRED = "list overdue"  # the current endpoint list is stale
+    LIST_EXPIRED = "list overdue"  # the current endpoint list has expired
     NO_SERVER = "no server"  # no usable server has capacity
     NO_TIME = "no time"  # the deadline passed in a queue or between attempts
     NO_ATTEMPT_LEFT = "no attempt left"
@@ -119,13 +119,14 @@
 
     `aim_ms`: a response within this time counts in full.
     `deadline_ms`: a response after this time counts for nothing.
-    `dedupe_scope`, `dedupe_window_ms`: where, and for how long, repeats of a keyed request are dropped.
+    `dedupe_scope`, `dedupe_window_ms`: where, and for how long, repeats of a KEYED request are dropped.
     `worth`: the value of a response, relative to that of other classes.
     `late_worth_fraction`: the fraction of the worth that a response between aim and deadline keeps.
-    `ordered_by_key`: requests that share a key, over all classes with this flag, run one at a time in the
-    order of their arrival.
+    `ordered_by_key`: requests with the same ordering key (`RequestArrived.key`) run one at a time, in the
+    order of their arrival. All classes with this flag share one set of ordering keys.
     `stream`: the response is streamed to the client.
-    `aim_per_work`: the aim grows by this many times the work of the request.
+    `aim_per_work`: the aim grows by this factor times the work of the request, which is a time in
+    milliseconds like `RequestArrived.work_hint_ms`. The balancer does not use it.
     """
 
     name: str
@@ -143,7 +144,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A tenant and its quota: the requests per second, over all balancers, that keep their full worth."""
+    """A tenant and its quota: the requests per second, over all balancers, that keep their full worth.
+
+    `portion`: read from the settings; this program does not use it.
+    """
 
     name: str
     quota_per_s: float
@@ -152,7 +156,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Limits:
-    """The features and resources that the deployment allows a balancer."""
+    """The features and resources that the deployment allows a balancer.
+
+    This program does not use `cancel`, `probes`, `peer_messages`, `cpu_us_per_s` and `cpu_us_per_request`.
+    """
 
     max_attempts: int = 3
     concurrent_attempts: bool = False  # hedged requests are allowed
@@ -161,8 +168,8 @@
     retry_after: bool = False  # refusals may carry a retry delay
     max_retry_after_ms: float = 0.0
     peer_messages: bool = False
-    max_concurrent_requests: int = 0  # requests open at the same time; 0 means no limit
-    max_concurrent_streams: int = 1  # attempts that one connection carries at the same time
+    max_concurrent_requests: int = 0  # requests without a final response; 0 means no limit
+    max_concurrent_streams: int = 1  # attempts in flight on one connection
     idle_timeout_ms: float = 0.0  # an unused connection is closed after this time
     connect_timeout_ms: float = 0.0
     cpu_us_per_s: float = 0.0
@@ -171,16 +178,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Rules:
-    """The parameters of the rules on final answers, drains, slow start, discovery and ordered requests.
+    """The parameters of the rules on final responses, drains, slow start, discovery and ordered requests.
 
-    `response_grace_ms`: how long after its deadline a request may still get its final answer.
+    `response_grace_ms`: how long after its deadline a request may still get its final response, which is the
+    one that ends the request towards the client. The balancer does not use it.
     `drain_grace_ms`: how long a balancer may keep sending to an endpoint after the start of its drain.
     `slow_start_share`: the share of its capacity that a server has when it starts.
     `warm_up_ms`: the time in which that share grows to the whole capacity; 0 disables slow start.
-    `cold_overload_factor`, `cold_overload_window_ms`: a cold server is overloaded when it receives this many
-    times the load of its share for this long.
-    `poll_interval_ms`: the longest time between two requests to a polled discovery.
-    `key_cooldown_ms`: how long a key stays blocked after an attempt that may still be running.
+    `cold_overload_factor`: a server that is still warming up becomes overloaded when its load exceeds its
+    present share of the capacity by this factor.
+    `cold_overload_window_ms`: how long the load must stay that high. The balancer does not use it.
+    `poll_interval_ms`: the longest time between two polls of discovery, if `polled_discovery` is set.
+    `key_cooldown_ms`: how long an ordering key stays blocked after an attempt that may still be running.
     """
 
     response_grace_ms: float = 0.0
@@ -195,7 +204,10 @@
 
 @dataclass(slots=True, frozen=True)
 class ScoreCosts:
-    """The points that each unit of a resource or of a fault takes off the score."""
+    """The points that each unit of a resource or of a fault takes off the evaluation score.
+
+    They are read from the settings; this program does not use them.
+    """
 
     cross_zone: float = 0.0
     waste: float = 0.0
@@ -212,7 +224,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ScoreWeights:
-    """The weights of the parts of the score."""
+    """The weights of the parts of the evaluation score. This program does not use them."""
 
     overall: float = 1.0
     worst_window: float = 0.0
@@ -226,14 +238,18 @@
 
     `zone`: the zone that the balancer runs in.
     `over_quota_worth_factor`: multiplies the worth of the requests that a tenant makes beyond its quota.
-    `tier`: the index in `tier_names` of the tier that the balancer sends to; tier 0 serves the clients.
+    `tier`: the index in `tier_names` of the tier that the balancer sends to. Tier 0, the first tier, serves
+    the clients. Each tier calls the next one, its upstream tier.
     `balancer_count`, `balancer_index`: the number of balancers of this tier, and the index of this one.
-    `zone_count`, `tier_count`: the number of zones and of tiers, also where they have no names.
-    `polled_discovery`: the endpoint list is polled with WatchEndpoints instead of being pushed.
+    `zone_count`, `tier_count`: the number of zones and of tiers, even if they are not named.
+    `polled_discovery`: the balancer requests the endpoint list with WatchEndpoints when it starts and after
+    each failure. Otherwise lists are pushed to it.
     `propagates_deadline`: a call carries the time that its caller has left, not the deadline of its class.
     `load_report_fields`: the names of the values in a load report, in their order.
+    `min_event_interval_ms`: the shortest time between two batches of events.
     `worth_per_work_unit`: worth is counted per unit of work, not per request.
     `clients_mark_retries`: clients set `RequestArrived.is_retry`.
+    `domain`, `warm_keys`: read from the settings; this program does not use them.
     """
 
     zone: str
@@ -249,7 +265,7 @@
     load_report_fields: tuple[str, ...] = ()
     load_reporting: LoadReporting = LoadReporting.NONE
     balancer_index: int = 0
-    min_event_interval_ms: float = 0.0  # between two batches of events
+    min_event_interval_ms: float = 0.0
     domain: str = ""
     zone_names: tuple[str, ...] = ()
     tier_names: tuple[str, ...] = ()
@@ -264,7 +280,10 @@
     score_costs: ScoreCosts = field(default_factory=ScoreCosts)
 
     def __post_init__(self) -> None:
-        """Raise ValueError if the settings contradict each other."""
+        """Raise ValueError if the settings contradict each other.
+
+        Most messages name a setting by its key in the configuration file, which codec.py reads.
+        """
         def require(condition: bool, message: str) -> None:
             if not condition:
                 raise ValueError(f"settings: {message}")
@@ -275,31 +294,33 @@
         require(len({t.name for t in self.tenants}) == len(self.tenants), "two tenants have the same name")
         for cls in self.classes:
             require(0 < cls.aim_ms <= cls.deadline_ms,
-                    f"class {cls.name}: the aim must be positive and at most the deadline")
+                    f"class {cls.name}: aimMs must be positive and at most deadlineMs")
             require(cls.worth >= 0 and cls.late_worth_fraction >= 0,
-                    f"class {cls.name}: the worth and its late fraction must not be negative")
+                    f"class {cls.name}: worth and lateValue must not be negative")
             require(cls.idempotency is not Idempotency.KEYED or cls.dedupe_window_ms >= 0,
-                    f"class {cls.name}: the deduplication window is negative")
+                    f"class {cls.name}: windowMs, the deduplication window, is negative")
             require(not (cls.ordered_by_key and cls.stream),
-                    f"class {cls.name}: a stream cannot be ordered by key")
-            require(cls.aim_per_work >= 0, f"class {cls.name}: the aim per work is negative")
-        require(all(t.quota_per_s >= 0 for t in self.tenants), "a tenant's quota is negative")
-        require(self.limits.max_attempts >= 1, "at least one attempt must be allowed")
+                    f"class {cls.name}: a stream cannot be ordered by key (fifoByKey)")
+            require(cls.aim_per_work >= 0, f"class {cls.name}: aimStretch is negative")
+        require(all(t.quota_per_s >= 0 for t in self.tenants), "quotaPerS, a tenant's quota, is negative")
+        require(self.limits.max_attempts >= 1, "mostTries, the number of attempts, must be at least 1")
         require(0 <= self.tier < self.tier_count, "the tier index must be below the number of tiers")
         require(len(self.tier_names) in (0, self.tier_count),
                 "the number of tier names differs from the number of tiers")
         require(self.balancer_count >= 1 and self.zone_count >= 1,
-                "there must be at least one balancer and one zone")
-        require(self.balancer_index >= 0, "the balancer index is negative")
+                "nInstances (the number of balancers) and the number of zones must be at least 1")
+        require(self.balancer_index >= 0, "me, the balancer index, is negative")
         require(not self.zone_names or self.zone in self.zone_names,
-                "the balancer's own zone is not among the zones")
-        require(0 < self.rules.slow_start_share <= 1, "the slow start share must be above 0 and at most 1")
+                "the balancer's local zone is not among the zones")
+        require(0 < self.rules.slow_start_share <= 1,
+                "coldShare, the slow start share, must be above 0 and at most 1")
         require(min(self.rules.warm_up_ms, self.rules.response_grace_ms, self.rules.drain_grace_ms) >= 0,
-                "the warm-up time or a grace period is negative")
-        require(self.rules.key_cooldown_ms >= 0, "the key cooldown is negative")
-        require(self.rules.cold_overload_factor > 0, "the cold overload factor must be positive")
+                "warmAfterMs, graceToAnswerMs or stopSendingWithinMs is negative")
+        require(self.rules.key_cooldown_ms >= 0, "turnGapMs, the key cooldown, is negative")
+        require(self.rules.cold_overload_factor > 0,
+                "tipMultiple, the cold overload factor, must be positive")
         require(not self.polled_discovery or self.rules.poll_interval_ms > 0,
-                "polled discovery needs a poll interval")
+                "polled discovery needs a positive poll interval, askEveryMs")
 
 
 # Events that the embedding program passes to the balancer.
@@ -314,7 +335,8 @@
 class EndpointsListed:
     """A response or a push from discovery. A FAILED event has no endpoints, and the current list stays.
 
-    `expires_at_ms`: when the list expires. The balancer sends nothing from then on until another event gives
+    `generation`: the version of the list; a newer list has a greater one.
+    `expires_at_ms`: when the list expires. From then on the balancer sends nothing until another event gives
     a later time.
     """
 
@@ -327,15 +349,16 @@
         """Describe the list for the log: its kind, its generation and the number of endpoints by state."""
         counts = Counter(endpoint.state for endpoint in self.endpoints)
         entries = ", ".join(f"{counts[state]} {state.value}" for state in EndpointState)
-        return f"{self.kind.value} to generation {self.generation}: {entries}"
+        return f"endpoint list ({self.kind.value}), generation {self.generation}: {entries}"
 
 
 @dataclass(slots=True, frozen=True)
 class ListExpiryChanged:
     """The current endpoint list expires at `expires_at_ms`, and the balancer sends nothing from then on.
 
-    From that time the balancer is deemed notified of changes that the list may lack. A time in the past
-    applies until the next EndpointsListed event, which may be one without changes.
+    From then on the balancer is treated as informed of every change that the list may lack: it must act on
+    such a change, whether or not a response with it has arrived. If the time is in the past, the balancer
+    sends nothing until the next EndpointsListed event, which may be one that lists no change.
     """
 
     expires_at_ms: float
@@ -343,11 +366,11 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestArrived:
-    """A request that needs exactly one final answer within `remaining_ms`.
+    """A request that needs exactly one final response within `remaining_ms`.
 
     `is_retry`: the client marks it as a retry.
-    `key`: requests of ordered classes that share it run in order; empty if the request has none.
-    `work_hint_ms`: an estimate of its work, if the client gives one.
+    `key`: the ordering key, or empty. Requests of ordered classes with the same key run in order.
+    `work_hint_ms`: an estimate of its work as a time, if the client gives one.
     """
 
     id: str
@@ -362,7 +385,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResponseStarted:
-    """A streamed response has begun, so the balancer gives no final answer for its request."""
+    """A streamed response has begun, so the balancer must not end its request with Refuse or Fail."""
 
     request: str
     attempt: int
@@ -375,7 +398,8 @@
     """An attempt has ended; each attempt ends exactly once.
 
     `load_report`: the endpoint's load report, with the values of `Settings.load_report_fields`.
-    `request_finished`: the request needs no further answer, because the client has its response or is gone.
+    `request_finished`: the request needs no final response any more, because the client has it or has
+    disconnected.
     `time_to_send_ms`: the part of `elapsed_ms` before the request was written to the socket, or all of
     `elapsed_ms` if it never was.
     """
@@ -391,13 +415,13 @@
 
     @property
     def response_time_ms(self) -> float:
-        """The time that the endpoint took, which excludes the time until the request was sent."""
+        """The time from when the request was written to the socket until the attempt ended."""
         return self.elapsed_ms - self.time_to_send_ms
 
 
 @dataclass(slots=True, frozen=True)
 class RequestAbandoned:
-    """The client no longer waits for the request, which needs no final answer any more."""
+    """The client no longer waits for the request, which needs no final response any more."""
 
     request: str
 
@@ -440,7 +464,7 @@
 class Send:
     """Start the request's next attempt, at an endpoint. Attempts of a request are numbered from 0.
 
-    `timeout_ms`: the timeout of the whole attempt; 0 means that only the client ends it.
+    `timeout_ms`: the timeout of the whole attempt; 0 means that the attempt has no timeout of its own.
     `send_within_ms`: how long the attempt may wait for a connection. If it has not been written to the
     socket by then, it must not be sent any more, and ends as NOT_SENT.
     """
@@ -461,7 +485,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: the request may be retried safely, after `retry_after_ms` unless that is 0."""
+    """End the request with a final response which says that the client may retry it safely.
+
+    `retry_after_ms`: how long the client is asked to wait before it retries; 0 means that it is not told.
+    """
 
     request: str
     retry_after_ms: float = 0.0
@@ -470,7 +497,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: the request failed, and it is unknown whether it has been executed."""
+    """End the request with a final response which says that it failed and may have been executed."""
 
     request: str
     reason: GiveUpReason = field(default=GiveUpReason.NO_SERVER, compare=False)  # for logs and metrics
@@ -493,7 +520,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WatchEndpoints:
-    """Start to watch discovery for changes of the endpoint list."""
+    """Start to watch discovery for changes of the endpoint list, or start again after a failure."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/honeywharf/policy/__init__.py
+++ b/honeywharf/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The policies of the balancer: each module makes one kind of decision and keeps the state for it."""
+"""The policies of the balancer. Each module makes one kind of decision or holds state for the others."""
--- a/honeywharf/policy/concurrency.py
+++ b/honeywharf/policy/concurrency.py
@@ -10,25 +10,30 @@
 
 #: A limit never falls below this fraction of its initial value: with so few calls, any congestion clears.
 MIN_LIMIT_FRACTION = 0.25
-#: A limit below its initial value grows this many times faster, because that many calls are known to be safe.
+#: A limit below its initial value grows this many times faster than one above it, because the initial limit
+#: is known to be safe.
 RECOVERY_SPEEDUP = 4.0
-#: Calls admitted beyond the limit, in proportion to the request's worth. Without them, a limit of about one
-#: call rejects a third of the calls by chance alone.
+#: A request of mean worth or more is admitted up to this many calls beyond the limit, and one of less worth
+#: up to proportionally fewer. Without them, a limit of about one call rejects a third of the calls by chance
+#: alone.
 EXTRA_CALLS = 1.0
-#: Responses that take twice the target lower a limit by a factor of e in this time, about one round trip.
+#: Responses that take twice the target lower a limit by a factor of e in this time. It is about as long as it
+#: takes until responses show the effect of a change of the limit.
 ADAPTATION_TIME_MS = 500.0
-#: A limit grows this many times more slowly than it falls. Otherwise it overshoots: responses show only
-#: after a delay that a limit is too high, and the calls admitted by then congest the servers for a long time.
+#: A limit grows this many times more slowly than it falls. Otherwise it overshoots: responses show only after
+#: a delay that a limit is too high, and the calls admitted until then congest the servers for a long time.
 GROWTH_SLOWDOWN = 5.0
 #: A limit grows only while more than this fraction of it is in use. Otherwise it would grow without
 #: bound at low traffic, and the next burst would congest the servers.
 MIN_UTILIZATION_TO_GROW = 0.8
-#: Weight of the newest response in the running mean of latency ratios. Single responses are late by chance,
-#: and would lower the limit more than the others raise it, because it falls faster than it grows.
+#: Weight of the newest response in the running mean of latency ratios. Without a mean, single responses that
+#: are slow by chance would lower the limit more than the others raise it, because it falls faster than it
+#: grows.
 LATENCY_RATIO_SMOOTHING = 0.3
 #: One response adapts the limit as if at most this much time had passed since the previous one.
-MAX_RESPONSE_SPAN_MS = 250.0
-#: The share of a limit that is open to a request is its worth over the mean worth, raised to this power.
+MAX_ADAPTATION_STEP_MS = 250.0
+#: The fraction of a limit that is open to a request is its worth divided by the mean worth, raised to this
+#: power.
 WORTH_EXPONENT = 0.4
 
 
@@ -36,7 +41,8 @@
 class ZoneLimiter:
     """Limits the calls in flight to one zone and counts its ready servers.
 
-    `limit` is in calls in flight per unit of capacity. A warm server of mean weight has a capacity of 1.
+    `limit` is the permitted number of calls in flight per unit of capacity. A server of mean weight has a
+    capacity of 1, unless it is slow or warming up.
     """
 
     in_flight: int = 0
@@ -46,19 +52,21 @@
     latency_ratio: float = 1.0  # The running mean of latency relative to its target.
     capacity: float = 0.0  # The sum over the usable servers of the zone.
     ready_servers: int = 0
-    # The number of usable servers, less two for each ejected one. Each ejection lowers it by 3.
+    # Three times the number of usable servers minus twice the number of ready ones, so each ejection lowers
+    # it by 3. It is at least 0 while two thirds of the ready servers are usable.
     ejection_margin: int = 0
 
     def admits(self, limit_share: float, random_fraction: float, server: Server | None = None) -> bool:
-        """Whether one more call fits into the share of the limit that is open to it.
+        """Whether one more call fits into `limit_share`, the fraction of the limit that is open to it.
 
         `random_fraction`, from [0, 1), is added to the active calls, so that a fractional limit is rounded up
         or down at random.
 
-        If a server is given, the call must fit into that server's part of the limit. Otherwise calls pile up
-        on one server, or keep a small server as busy as a large one, while other servers have capacity left.
-        A server without active calls always admits one: where many balancers share it, its part of the limit
-        is less than one call, and all servers would reject the call alike, as `random_fraction` is the same.
+        If a server is given, the call must fit into that server's part of the limit. Otherwise calls would
+        pile up on one server, or keep a small server as busy as a large one, while other servers have
+        capacity left. A server without active calls always admits one. If many balancers share it, its part
+        of the limit is less than one call, and since `random_fraction` is the same for all servers, they
+        would all reject the same call.
         """
         if server is not None and not server.active_calls:
             return True
@@ -70,15 +78,15 @@
     def adapt_limit(self, latency_ratio: float, now_ms: float) -> None:
         """Adapt the limit to one response, which took `latency_ratio` times the target latency.
 
-        The pace depends on the elapsed time and not on the number of responses, so that the limits of
-        balancers with little and with much traffic agree.
+        The pace depends on the elapsed time and not on the number of responses, so that balancers with little
+        and with much traffic arrive at the same limits.
         """
-        step = min(MAX_RESPONSE_SPAN_MS, now_ms - self.last_adapted_ms) / ADAPTATION_TIME_MS
+        step = min(MAX_ADAPTATION_STEP_MS, now_ms - self.last_adapted_ms) / ADAPTATION_TIME_MS
         self.last_adapted_ms = now_ms
         self.latency_ratio += (min(latency_ratio, 3.0) - self.latency_ratio) * LATENCY_RATIO_SMOOTHING
         headroom = 1.0 - self.latency_ratio
         in_use = self.in_flight > self.limit * self.capacity * MIN_UTILIZATION_TO_GROW
-        if headroom < 0 or in_use:  # Good latency proves nothing about a limit that is not in use.
+        if headroom < 0 or in_use:  # Low latency proves nothing about a limit that is not in use.
             if headroom > 0:
                 step /= (
                     GROWTH_SLOWDOWN / RECOVERY_SPEEDUP if self.limit < self.initial_limit
--- a/honeywharf/policy/host_set.py
+++ b/honeywharf/policy/host_set.py
@@ -9,24 +9,26 @@
 from honeywharf.policy.concurrency import ZoneLimiter
 from honeywharf.policy.server import Server
 
-#: Interval between updates of slowly changing figures. It is short compared with the failures to react to.
+#: Interval between recomputations of traffic fractions, priority levels and zone capacities. Failures that
+#: the balancer must react to last much longer.
 REFRESH_INTERVAL_MS = 250.0
-#: Up to this relative latency, a server gets its even share of the traffic. A slower one gets a fraction of
-#: it that falls with the square of its relative latency.
+#: Up to this relative latency, a server gets an equal share of the traffic. A slower one gets a fraction of
+#: that share, which falls with the square of its relative latency.
 FULL_TRAFFIC_LATENCY = 1.2
-#: A slow server gets at least this fraction of its even share.
-MIN_LATENCY_FRACTION = 0.2
-#: The initial limit per server allows this many calls for its own tier and again for each tier below: one in
-#: progress and one queued behind it. With only one, a core idles whenever its call waits for something else.
+#: A slow server gets at least this fraction of an equal share.
+MIN_SLOW_SERVER_FRACTION = 0.2
+#: The initial concurrency limit allows each server this many calls for its own tier and again for each
+#: upstream tier: one that is being executed and one in the queue. With only one, a core of the server would
+#: be idle whenever its call waits for something else.
 INITIAL_CALLS_PER_TIER = 2.0
 #: A cold server gets the load that would overload it divided by this factor, because calls arrive at random
-#: and differ in their work.
+#: times and differ in their work.
 SLOW_START_SAFETY_FACTOR = 3.0
-#: The response rate is averaged over this time, or over a longer one where there are few responses.
+#: The response rate is averaged over this time, or over a longer one if there are few responses.
 RATE_WINDOW_MS = 5000.0
 #: The average covers at least this many responses. Even then, chance makes the peak rate a fifth too high.
 RATE_WINDOW_RESPONSES = 20.0
-#: The peak rate decays over this time, so that it stays known while no server responds.
+#: The peak rate decays slowly, over this time, so that it stays known while no server responds.
 PEAK_DECAY_MS = 60000.0
 
 
@@ -41,7 +43,7 @@
     def update(self, total_traffic_fraction: float, now_ms: float) -> None:
         """Update the rate with the responses since the last update.
 
-        `total_traffic_fraction` is the sum of the traffic fractions of the servers that gave them.
+        `total_traffic_fraction` is the sum of the traffic fractions of all usable servers.
         """
         elapsed_ms = max(1.0, now_ms - self.updated_ms)
         window_ms = max(RATE_WINDOW_MS, RATE_WINDOW_RESPONSES / (self.rate * total_traffic_fraction))
@@ -55,8 +57,8 @@
 class HostSet:
     """The listed servers and their zones, with the usable servers in levels of decreasing priority.
 
-    The levels are the usable servers of the balancer's own zone, those of all zones, and once more those of
-    all zones. At the last level the balancer relaxes its checks.
+    The first level holds the usable servers of the local zone, the second and the third hold those of all
+    zones. At the third level the balancer relaxes its checks.
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
@@ -100,24 +102,25 @@
             self.refresh(now_ms)
 
     def refresh(self, now_ms: float) -> None:
-        """Recompute each server's traffic fraction, the priority levels and the figures of each zone."""
+        """Recompute the traffic fractions, the priority levels, and the capacity and margin of each zone."""
         self.refresh_due_ms = now_ms + REFRESH_INTERVAL_MS
         ready_servers = [s for s in self.servers.values() if s.endpoint.state is api.EndpointState.READY]
         for server in ready_servers:
             if server.endpoint.started_ms is None and server.relative_latency <= FULL_TRAFFIC_LATENCY:
-                # This shortcut saves time for most of the thousands of servers that a list may hold. The
-                # code below gives the same result.
+                # This shortcut saves time, because a list may hold thousands of servers, and it applies to
+                # most of them. The code below would give the same result.
                 server.warming_up, server.traffic_fraction = False, 1.0
                 continue
             latency_fraction = min(1.0, FULL_TRAFFIC_LATENCY / server.relative_latency) ** 2
             warm_fraction = self._warm_fraction(server.endpoint, now_ms)
             server.warming_up = warm_fraction < 1.0
-            server.traffic_fraction = warm_fraction * max(MIN_LATENCY_FRACTION, latency_fraction)
-        # If all ready servers are ejected, all of them count as usable: ejection must not stop the traffic.
+            server.traffic_fraction = warm_fraction * max(MIN_SLOW_SERVER_FRACTION, latency_fraction)
+        # If all ready servers are ejected, all of them are usable, because ejection must not stop the
+        # traffic.
         self.usable = [s for s in ready_servers if s.ejected_until_ms <= now_ms] or ready_servers
         self.response_rate.update(sum(s.traffic_fraction for s in self.usable) or 1.0, now_ms)
-        own_zone_servers = [s for s in self.usable if s.endpoint.zone == self.settings.zone]
-        self.priority_levels = [own_zone_servers, self.usable, self.usable]
+        local_servers = [s for s in self.usable if s.endpoint.zone == self.settings.zone]
+        self.priority_levels = [local_servers, self.usable, self.usable]
         self._refresh_zones(ready_servers)
 
     def _refresh_zones(self, ready_servers: list[Server]) -> None:
@@ -139,16 +142,16 @@
             endpoint = server.endpoint
             server.capacity = server.traffic_fraction * endpoint.weight / mean_weight
             zone = self.zones[endpoint.zone]
-            # A cold server adds only its reduced capacity. Otherwise the first cold servers of a zone that
-            # has lost all others would be overloaded.
+            # A cold server adds only its reduced capacity. Otherwise, after a zone has lost all its servers,
+            # the first new ones would be overloaded.
             zone.capacity += server.capacity
             zone.ejection_margin += 3
 
     def _warm_fraction(self, endpoint: api.Endpoint, now_ms: float) -> float:
-        """The fraction of its full capacity that a server has at least, given the time since its start.
+        """The least fraction of its full capacity that a server can have, by the time since its start.
 
-        The server gets at most this fraction of its share of the calls, so that it is not overloaded while it
-        is cold.
+        The server gets at most this fraction of an equal share of the calls. Otherwise it would be overloaded
+        while it is cold.
         """
         rules = self.settings.rules
         if endpoint.started_ms is None or rules.warm_up_ms <= 0:
@@ -160,9 +163,9 @@
             self, server: Server, min_intervals: float, max_intervals: float, now_ms: float) -> None:
         """Set the earliest time of the next call from this balancer to a cold server.
 
-        The delay is a random number of mean intervals, from `min_intervals` to `max_intervals`. The interval
-        is such that all balancers together send the server a fraction of the rate at which a warm server has
-        responded. Otherwise they would overload it.
+        The delay is the mean interval between calls times a random factor, from `min_intervals` to
+        `max_intervals`. With this mean interval, all balancers together send the server calls at only a
+        fraction of the rate at which a warm server has responded. Otherwise they would overload it.
         """
         rate_fraction = (
             self.settings.rules.cold_overload_factor / SLOW_START_SAFETY_FACTOR
@@ -173,8 +176,9 @@
     def can_eject(self, server: Server) -> bool:
         """Whether two thirds of the server's zone stay usable if the server is ejected.
 
-        If more of the zone is slow, the cause is not this server. A zone of one or two servers is too small
-        to tell: there the whole fleet must have the margin, and calls spill over to the other zones.
+        If more than a third of the zone is failing or slow, the cause is not this server. A zone of one or
+        two servers is too small to tell. For it, two thirds of the servers of all zones must stay usable
+        instead, and calls spill over to the other zones.
         """
         zone = self.zones[server.endpoint.zone]
         return zone.ejection_margin >= 3 or (
--- a/honeywharf/policy/quota.py
+++ b/honeywharf/policy/quota.py
@@ -4,21 +4,24 @@
 
 from dataclasses import dataclass
 
-#: How much unused quota a tenant may save up, in time. One balancer sees only few of a tenant's requests, so
-#: they arrive unevenly.
+#: A tenant can save up its unused quota of at most this much time. One balancer sees only a few of a tenant's
+#: requests, so they arrive unevenly.
 QUOTA_BURST_MS = 5000.0
 
 
 @dataclass(slots=True, eq=False)
 class TenantQuota:
-    """A token bucket that refills at the tenant's quota divided by the number of balancers."""
+    """A token bucket that refills at the tenant's quota divided by the number of balancers.
+
+    One token pays for one request.
+    """
 
     tokens_per_ms: float
     tokens: float
     refilled_ms: float
 
     def try_take(self, now_ms: float) -> bool:
-        """Refill the bucket and take one token; returns False if the tenant is over its quota."""
+        """Refill the bucket and take one token; return False if the tenant is over its quota."""
         self.tokens = min(
             QUOTA_BURST_MS * self.tokens_per_ms,
             self.tokens + (now_ms - self.refilled_ms) * self.tokens_per_ms)
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -1,7 +1,7 @@
-"""Requests, their attempts, and the queues of ordered requests that share a key.
+"""Requests, their attempts, and the queues of ordered requests that share an ordering key.
 
-A request decides where a further attempt is safe, by its effect, its deduplication scope and its idempotency
-window.
+A request decides where it may be sent again without taking effect twice. This follows from the idempotency,
+the deduplication scope and the deduplication window of its class.
 """
 
 from __future__ import annotations
@@ -27,10 +27,10 @@
     zone: ZoneLimiter
     sent_ms: float  # when the balancer decided to send it
     written_ms: float  # when it was written to the socket; equals `sent_ms` until the attempt has ended
-    ejections: int  # the server's count of ejections at `sent_ms`
+    ejections: int  # the number of times that the server had been ejected by `sent_ms`
     active: bool = True  # its outcome has not been reported yet
-    may_have_run: bool = True  # False once the outcome proves that the server did not run it
-    counted_in_flight: bool = True  # it is included in `Zone.in_flight`
+    may_have_run: bool = True  # False once the outcome proves that the server did not execute it
+    counted_in_flight: bool = True  # it is included in `ZoneLimiter.in_flight`
     is_hung: bool = False
 
     def release(self) -> None:
@@ -42,34 +42,37 @@
 
 @dataclass(slots=True, eq=False)
 class KeyQueue:
-    """The requests of ordered classes that share a key, in arrival order: only the first may be sent."""
+    """The requests of ordered classes that share an ordering key, in the order of their arrival.
+
+    Only the first of them may be sent.
+    """
 
     queued_requests: deque[Request] = field(default_factory=deque)
-    # No request of the queue is sent before this time, because a server may still be running an attempt whose
-    # outcome was reported.
+    # No request of the queue is sent before this time. After an outcome like a timeout, a server may still be
+    # executing the attempt.
     cooldown_until_ms: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """A request with its attempts. It is kept until it is answered and its last attempt has ended."""
+    """A request with its attempts. It is kept until it is done and its last attempt has ended."""
 
     id: str
     request_class: api.RequestClass
-    key: str  # selects its KeyQueue; empty if its class is not ordered
-    deadline_at_ms: float  # a time on the caller's clock, unlike `RequestClass.deadline_ms`
+    key: str  # the ordering key, which selects its KeyQueue; empty if its class is not ordered
+    deadline_at_ms: float  # a point in time, unlike `RequestClass.deadline_ms`, which is a duration
     worth: float
-    limit_share: float = 1.0  # the part of a zone's concurrency limit that this request may use
+    limit_share: float = 1.0  # the fraction of a zone's concurrency limit that is open to this request
     attempts: list[Attempt] = field(default_factory=list)
-    is_done: bool = False
+    is_done: bool = False  # it needs no further attempt, and no final response from the balancer
 
-    def first_possibly_run_attempt(self) -> Attempt | None:
-        """Return the first attempt that a server may have run, if any."""
+    def first_attempt_that_may_have_run(self) -> Attempt | None:
+        """Return the first attempt that a server may have executed, if any."""
         return next((a for a in self.attempts if a.may_have_run), None)
 
     def may_send_to(self, endpoint: api.Endpoint, now_ms: float) -> bool:
         """Return whether the request can be sent to the endpoint without the risk of taking effect twice."""
-        first, request_class = self.first_possibly_run_attempt(), self.request_class
+        first, request_class = self.first_attempt_that_may_have_run(), self.request_class
         if first is None or request_class.idempotency is api.Idempotency.REPEATABLE:
             return True
         if (
@@ -83,18 +86,18 @@
         ) and (request_class.dedupe_scope is not api.DedupeScope.CELL or first_endpoint.cell == endpoint.cell)
 
     def retry_safe_until_ms(self) -> float:
-        """Return the time until which a retry may be written without the risk of taking effect twice."""
-        first = self.first_possibly_run_attempt()
+        """Return until when a retry may be written to the socket without the risk of taking effect twice."""
+        first = self.first_attempt_that_may_have_run()
         if first is None or self.request_class.idempotency is not api.Idempotency.KEYED:
             return math.inf
         return first.written_ms + self.request_class.dedupe_window_ms
 
     def may_refuse(self) -> bool:
-        """Return whether the request may be refused: a refusal tells the client that a retry is harmless."""
+        """Return whether the request may be refused. A refusal tells the client that it may retry safely."""
         request_class = self.request_class
         return (
             request_class.idempotency is api.Idempotency.REPEATABLE
-            or self.first_possibly_run_attempt() is None
+            or self.first_attempt_that_may_have_run() is None
             or (
                 request_class.idempotency is api.Idempotency.KEYED
                 and request_class.dedupe_scope is api.DedupeScope.ALL
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -113,9 +113,9 @@
 
 @pytest.mark.parametrize(("changes", "expected_error"), [
     ({"profiles": [{**SETTINGS["profiles"][0], "stream": True}]}, "a stream cannot be ordered by key"),
-    ({"zone": "z"}, "own zone is not among the zones"), ({"tier": 2}, "tier index must be below"),
-    ({"contract": {"turnGapMs": -1.0}}, "key cooldown is negative"),
-    ({"me": -1}, "balancer index is negative"),
+    ({"zone": "z"}, "local zone is not among the zones"), ({"tier": 2}, "tier index must be below"),
+    ({"contract": {"turnGapMs": -1.0}}, "key cooldown, is negative"),
+    ({"me": -1}, "balancer index, is negative"),
 ])
 def test_contradictory_settings_are_rejected(changes: dict[str, Any], expected_error: str) -> None:
     with pytest.raises(ValueError, match=expected_error):
