--- a/honeywharf/balancer.py
+++ b/honeywharf/balancer.py
@@ -26,21 +26,21 @@
 # Random picks from one priority level before the balancer goes on to the next level. If half of the servers
 # of a level can get the request, 8 picks find one of them 255 times in 256.
 MAX_PICKS_PER_LEVEL = 8
-# The maximum backoff after a failed watch. It is short, because a long backoff alone could let the list
-# expire. It is proportional to the number of balancers, with about the time that discovery needs to serve one
-# of them as the factor, so that discovery can serve them all. It is never below the second value.
+# The maximum backoff after a failed watch is the first value times the number of balancers, and at least the
+# second value. The first is about the time that discovery needs to serve one balancer, so that it can serve
+# all of them. A longer backoff could by itself let the list expire.
 MAX_WATCH_BACKOFF_PER_BALANCER_MS = 50.0
 MAX_WATCH_BACKOFF_FLOOR_MS = 500.0
 # Retry tokens that each request adds to the retry budget, so that retries add at most a tenth to the load
 # when every attempt fails.
 RETRY_TOKENS_PER_REQUEST = 0.1
-MAX_RETRY_TOKENS = 5.0  # the most retries that the balancer can make at once after a time without any
+MAX_RETRY_TOKENS = 5.0  # so that a balancer with little traffic can retry a few requests at once
 # The retry of a rejected attempt costs less than a whole token: a rejection causes little load, while giving
 # up wastes the work that the downstream tiers have done.
 REJECTED_RETRY_TOKENS = 0.25
 #: Outcomes of attempts that are taken to have caused no load. A retry after them costs no retry token, and
-#: they leave the concurrency limit of the zone unchanged. What they say of the server's health is for
-#: outlier.py.
+#: they leave the concurrency limit of the zone unchanged. The outlier detection judges them by rules of its
+#: own.
 NO_LOAD_OUTCOMES = frozenset({
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.NOT_SENT, api.Outcome.CANCELLED})
 # Range of the delay after which a refused client may retry: responses take about that long under overload.
@@ -106,7 +106,8 @@
 
     def summary(self) -> str:
         """Describe each zone for the log, in a text whose length does not depend on the number of servers."""
-        # The number of usable servers follows from `ejection_margin`, which is 3 * usable - 2 * ready.
+        # The number of usable servers follows from `ejection_margin`, which is 3 * usable - 2 * ready. The
+        # log has the latency ratio as `lateness`.
         return " ".join(
             f"{name or '-'}[usable={(z.ejection_margin + 2 * z.ready_servers) // 3}/{z.ready_servers} "
             f"calls={z.in_flight} limit={z.limit * z.capacity:.1f} lateness={z.latency_ratio:.2f}]"
@@ -309,8 +310,8 @@
         attempt.written_ms = attempt.sent_ms + event.time_to_send_ms
         attempt.server.active_calls.pop(attempt, None)
         attempt.release()
-        # The outcome is ignored if the server was ejected, or the call was found to be hung, after the call
-        # was sent: the server has been judged already.
+        # The outcome does not affect the limit or the outlier detection if the server was ejected, or the
+        # call was found to be hung, after the call was sent: the server has been judged already.
         if attempt.ejections == attempt.server.ejections and not attempt.is_hung:
             self._update_zone_limit(attempt.zone, request, event)
             self.outliers.record(attempt.server, request, event, self.now_ms)
--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -158,7 +158,8 @@
 class Limits:
     """The features and resources that the deployment allows a balancer.
 
-    This program does not use `cancel`, `probes`, `peer_messages`, `cpu_us_per_s` and `cpu_us_per_request`.
+    This program does not use `cancel`, `probes`, `peer_messages`, `max_concurrent_streams`, `cpu_us_per_s`
+    and `cpu_us_per_request`.
     """
 
     max_attempts: int = 3
@@ -335,7 +336,7 @@
 class EndpointsListed:
     """A response or a push from discovery. A FAILED event has no endpoints, and the current list stays.
 
-    `generation`: the version of the list; a newer list has a greater one.
+    `generation`: the version of the list, as discovery numbers it.
     `expires_at_ms`: when the list expires. From then on the balancer sends nothing until another event gives
     a later time.
     """
--- a/honeywharf/policy/concurrency.py
+++ b/honeywharf/policy/concurrency.py
@@ -33,7 +33,7 @@
 #: One response adapts the limit as if at most this much time had passed since the previous one.
 MAX_ADAPTATION_STEP_MS = 250.0
 #: The fraction of a limit that is open to a request is its worth divided by the mean worth, raised to this
-#: power.
+#: power, but at most 1.
 WORTH_EXPONENT = 0.4
 
 
--- a/honeywharf/policy/host_set.py
+++ b/honeywharf/policy/host_set.py
@@ -57,8 +57,8 @@
 class HostSet:
     """The listed servers and their zones, with the usable servers in levels of decreasing priority.
 
-    The first level holds the usable servers of the local zone, the second and the third hold those of all
-    zones. At the third level the balancer relaxes its checks.
+    Level 0 holds the usable servers of the local zone. Levels 1 and 2 both hold those of all zones. At level
+    2 the balancer relaxes its checks.
     """
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
@@ -115,8 +115,7 @@
             warm_fraction = self._warm_fraction(server.endpoint, now_ms)
             server.warming_up = warm_fraction < 1.0
             server.traffic_fraction = warm_fraction * max(MIN_SLOW_SERVER_FRACTION, latency_fraction)
-        # If all ready servers are ejected, all of them are usable, because ejection must not stop the
-        # traffic.
+        # If all ready servers are ejected, all of them are usable: ejection must not stop the traffic.
         self.usable = [s for s in ready_servers if s.ejected_until_ms <= now_ms] or ready_servers
         self.response_rate.update(sum(s.traffic_fraction for s in self.usable) or 1.0, now_ms)
         local_servers = [s for s in self.usable if s.endpoint.zone == self.settings.zone]
--- a/honeywharf/policy/list_freshness.py
+++ b/honeywharf/policy/list_freshness.py
@@ -36,9 +36,9 @@
 # A poll times out if no response has arrived this long after its wait is over. Discovery responds within
 # milliseconds then.
 RESPONSE_MARGIN_MS = 500.0
-# A poll that may have started a new watch can spend longer than RESPONSE_MARGIN_MS in discovery's queue. It
-# times out at the latest this long before the list expires, so that the response to a new poll can still
-# arrive in time.
+# A poll that may have started a new watch can spend longer than RESPONSE_MARGIN_MS in discovery's queue, so
+# its timeout may be longer. The extension ends this long before the list expires, so that the response to
+# another poll can still arrive in time.
 NEW_POLL_TIME_BEFORE_EXPIRY_MS = 1000.0
 # The longest time from a response of discovery to the next poll of the same watch. Discovery ends a watch 200
 # ms after it wrote a response, if no poll has arrived by then. The other 50 ms are for the response and the
--- a/honeywharf/policy/outlier.py
+++ b/honeywharf/policy/outlier.py
@@ -24,7 +24,7 @@
 # The anomaly score that makes a server an outlier. A healthy server reaches it by chance about once in a few
 # hundred calls.
 EJECTION_SCORE = 6.0
-FAILURE_RATE_WINDOW_CALLS = 6  # number of calls that a server's failure rate averages
+FAILURE_RATE_WINDOW_CALLS = 6  # number of calls that a server's failure rate averages over
 # The failure rate of a server is an outlier if it exceeds twice the mean rate of the other servers by this
 # much.
 OUTLIER_FAILURE_RATE_MARGIN = 0.25
@@ -32,7 +32,7 @@
 MAX_EJECTION_DOUBLINGS = 2  # consecutive ejections last up to four times as long as the first
 EJECTION_JITTER = (0.75, 1.25)  # bounds of the random factor of each duration
 OVERLOAD_EJECTION_MS = 1000.0  # after a rejection: an overloaded server needs this long to shorten its queue
-RELATIVE_LATENCY_WINDOW_RESPONSES = 6  # number of responses that a server's relative latency averages
+RELATIVE_LATENCY_WINDOW_RESPONSES = 6  # number of responses that a server's mean covers
 # How long a server gets no calls of a class whose calls have timed out or failed there. This is long because
 # each trial call may make a request fail.
 CLASS_EJECTION_MS = 10000.0
@@ -42,7 +42,7 @@
 # The relative latency beyond which a call is considered hung. About one response in a few hundred is that
 # late by chance.
 HUNG_RELATIVE_LATENCY = 3.0
-BASELINE_WINDOW_RESPONSES = 30  # number of responses that the expected latency of a class averages
+BASELINE_WINDOW_RESPONSES = 30  # number of responses that the mean latency of a class covers
 
 
 class LatencyBaseline:
--- a/honeywharf/policy/request.py
+++ b/honeywharf/policy/request.py
@@ -34,7 +34,7 @@
     is_hung: bool = False
 
     def release(self) -> None:
-        """Remove the attempt from its zone's count of calls in flight; a second call has no effect."""
+        """Remove the attempt from its zone's count of calls in flight, unless that was done before."""
         if self.counted_in_flight:
             self.counted_in_flight = False
             self.zone.in_flight -= 1
--- a/honeywharf/simulator_adapter.py
+++ b/honeywharf/simulator_adapter.py
@@ -1,8 +1,8 @@
 """Adapter through which many balancers run in the simulator.
 
-It reads one batch of events per line from standard input, and answers each with one line on standard output
-that holds the balancers' actions. Each line is a JSON object. The adapter only converts between JSON and the
-types of `interface.py`; the balancers make all decisions.
+It reads one batch of events per line from standard input. For each batch it writes one line with the actions
+of the balancers to standard output. Each line is a JSON object. The adapter only converts between JSON and
+the types of `interface.py`; the balancers make all decisions.
 """
 
 from __future__ import annotations
