--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -187,7 +187,7 @@
 
     def list_summary(self) -> str:
         """Describe the current list and the poll in flight for the log."""
-        age_s = (self.clock.now() - self.freshness.last_known_current_ms) / 1000.0
+        age_s = (self.clock.now() - self.freshness.last_known_up_to_date_ms) / 1000.0
         age = f"{age_s:.2f} s" if age_s < float("inf") else "unknown"
         poll = f" {self._describe_poll(self.poll)}" if self.poll is not None else ""
         return (f"generation={self.directory.generation} endpoints={len(self.directory.endpoint_ids)} "
@@ -306,7 +306,7 @@
     def _answer_timed_out(self, poll: Poll) -> None:
         """Expire the list until the rest of a slow answer, or another answer in its place, has arrived."""
         started_ms = poll.answer_started_ms
-        superseded = started_ms is not None and self.freshness.last_known_current_ms > started_ms
+        superseded = started_ms is not None and self.freshness.last_known_up_to_date_ms > started_ms
         if not self.expiry.expired and not superseded:
             self._expire(f"only part of an answer has arrived ({self._describe_poll(poll)})")
 
@@ -318,7 +318,7 @@
         event = self.directory.apply(orjson.loads(response.body), api.ListKind.FULL if poll.is_full else None)
         unchanged = (
             event.kind is api.ListKind.CHANGES and not event.endpoints and event.generation == generation)
-        self.freshness.record_answer(
+        self.freshness.record_response(
             poll.sent_ms, poll.wait_ms, unchanged=unchanged, now_ms=self.clock.now())
         return replace(event, expires_at_ms=self.freshness.expires_ms)
 
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -55,7 +55,7 @@
             max_concurrent_streams=2, idle_timeout_ms=5000.0, connect_timeout_ms=250.0,
             cpu_us_per_s=900.0, cpu_us_per_request=3.5),
         rules=api.Rules(
-            answer_grace_ms=20.0, drain_grace_ms=500.0, slow_start_share=0.15, warm_up_ms=24000.0,
+            response_grace_ms=20.0, drain_grace_ms=500.0, slow_start_share=0.15, warm_up_ms=24000.0,
             cold_overload_factor=4.0, cold_overload_window_ms=1000.0, poll_interval_ms=9000.0,
             key_cooldown_ms=120.0),
         score_costs=api.ScoreCosts(
@@ -113,9 +113,9 @@
 
 @pytest.mark.parametrize(("changes", "expected_error"), [
     ({"profiles": [{**SETTINGS["profiles"][0], "stream": True}]}, "a stream cannot be ordered by key"),
-    ({"zone": "z"}, "own zone is not among the zones"), ({"tier": 2}, "tier index must be below"),
-    ({"contract": {"turnGapMs": -1.0}}, "key cooldown is negative"),
-    ({"me": -1}, "balancer index is negative"),
+    ({"zone": "z"}, "local zone is not among the zones"), ({"tier": 2}, "tier index must be below"),
+    ({"contract": {"turnGapMs": -1.0}}, "key cooldown, is negative"),
+    ({"me": -1}, "balancer index, is negative"),
 ])
 def test_contradictory_settings_are_rejected(changes: dict[str, Any], expected_error: str) -> None:
     with pytest.raises(ValueError, match=expected_error):
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -46,16 +46,16 @@
     freshness = ListFreshness()
     assert not freshness.is_usable(0.0)
     # A poll that was sent at 1000 ms, asked for no wait, and spent 3.4 s in the queue of discovery.
-    freshness.record_answer(1000.0, 0.0, unchanged=True, now_ms=4400.0)
+    freshness.record_response(1000.0, 0.0, unchanged=True, now_ms=4400.0)
     assert freshness.expires_ms == 1000.0 + MAX_AGE_MS
     # The response arrives before the wait of 1000 ms has ended.
-    freshness.record_answer(4400.0, 1000.0, unchanged=True, now_ms=4900.0)
+    freshness.record_response(4400.0, 1000.0, unchanged=True, now_ms=4900.0)
     assert freshness.expires_ms == 4400.0 + MAX_AGE_MS
     # The wait ends at 6000 ms, and the response is in transit for 3 s.
-    freshness.record_answer(5000.0, 1000.0, unchanged=True, now_ms=9000.0)
+    freshness.record_response(5000.0, 1000.0, unchanged=True, now_ms=9000.0)
     assert freshness.expires_ms == 6000.0 + MAX_AGE_MS
     # The response holds changes.
-    freshness.record_answer(9000.0, 4000.0, unchanged=False, now_ms=9800.0)
+    freshness.record_response(9000.0, 4000.0, unchanged=False, now_ms=9800.0)
     assert freshness.expires_ms == 9000.0 + MAX_AGE_MS
     assert freshness.is_usable(9000.0 + MAX_AGE_MS - 1.0)
     assert not freshness.is_usable(9000.0 + MAX_AGE_MS)
@@ -69,7 +69,7 @@
     poll_interval_ms: float, max_age_ms: float,
 ) -> None:
     freshness = ListFreshness(poll_interval_ms)
-    freshness.mark_current(100_000.0)
+    freshness.mark_up_to_date(100_000.0)
     assert freshness.expires_ms == 100_000.0 + max_age_ms
     for age_ms in range(0, int(max_age_ms), 50):
         wait_ms = freshness.wait_ms(100_000.0 + age_ms)
@@ -85,7 +85,7 @@
     """
     for age_ms in range(0, 4500, 50):
         freshness = ListFreshness()
-        freshness.mark_current(0.0)
+        freshness.mark_up_to_date(0.0)
         wait_ms = freshness.wait_ms(age_ms)
         timeout_ms = freshness.long_poll_timeout_ms(age_ms, wait_ms)
         assert timeout_ms >= wait_ms + 500.0
