--- a/honeywharf/net/list_expiry.py
+++ b/honeywharf/net/list_expiry.py
@@ -35,12 +35,12 @@
         """Record that discovery has nothing newer than the list, unless the list has expired already."""
         now = self.clock.now()
         if not self.expired and self.freshness.is_usable(now):
-            self.freshness.mark_current(now)
+            self.freshness.mark_up_to_date(now)
             self._restart_timer_and_notify()
 
     def confirm_current_at_expiry(self) -> None:
         """Record that discovery has nothing newer than the list, even though its expiry time has come."""
-        self.freshness.mark_current(self.clock.now())
+        self.freshness.mark_up_to_date(self.clock.now())
         self._restart_timer_and_notify()
 
     def expire_sooner(self) -> None:
