--- a/tests/test_client_disconnect.py
+++ b/tests/test_client_disconnect.py
@@ -16,7 +16,7 @@
     GatedLoop,
     ProxyHarness,
     make_response,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
 )
@@ -121,7 +121,7 @@
             assert (len(backend.requests), backend.connection_count) == (1 + expected_sent, 1)
             assert harness.proxy.driver.open_request_count == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("disconnect_mode", DISCONNECT_MODES)
@@ -141,7 +141,7 @@
             await wait_until_finished(harness, 2)
             assert (len(backend.requests), backend.connection_count) == (1, 1)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_no_retry_for_a_client_that_half_closes_before_it_has_read_its_previous_response() -> None:
@@ -166,4 +166,4 @@
             assert len(backend.requests) == 2
             client.socket.close()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -22,7 +22,7 @@
     discovery_entry,
     make_response,
     read_message,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
     with_timeout,
@@ -79,7 +79,7 @@
                 # A request that must not be repeated is sent once if it may have been executed.
                 assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_refused_connection_ends_as_connect_failed() -> None:
@@ -91,7 +91,7 @@
                 client.send("pay")
                 assert await client.read_status() == 503
                 assert {e.outcome for e in harness.ended_attempts()} == {Outcome.CONNECT_FAILED}
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_connection_that_is_never_established_times_out() -> None:
@@ -116,7 +116,7 @@
                 assert event.elapsed_ms >= 150.0
             for filler in fillers:
                 filler.close()
-    run_with_timeout(main())
+    run_test(main())
 
 
 class ExpiredConnectLoop(GatedLoop):
@@ -151,7 +151,7 @@
         await wait_until(lambda: backend.closed_connection_count == 1)
         assert (call.outcomes, pool.total_connections, backend.requests) == ([Outcome.CONNECT_TIMEOUT], 0, [])
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("change", ["drains", "is removed", "restarts", "moves"])
@@ -176,7 +176,7 @@
         assert (pool.total_connections, backend.requests, other.requests) == (0, [], [])
         await backend.stop()
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_losing_a_connection_before_the_request_is_written_is_connect_failed() -> None:
@@ -199,7 +199,7 @@
             await with_timeout(call.finished.wait())
             assert call.outcomes == [Outcome.CONNECT_FAILED]
             assert pool.total_connections == 0
-    run_with_timeout(main())
+    run_test(main())
 
 
 class SmallSendBufferLoop:
@@ -257,7 +257,7 @@
             peer.close()
             assert 0 < len(received.partition(b"\r\n\r\n")[2]) < 20_000
             await wait_until(lambda: pool.total_connections == 0)
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_attempt_without_a_response_times_out_and_its_connection_closes() -> None:
@@ -272,7 +272,7 @@
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_request_line_headers_and_body_reach_the_backend() -> None:
@@ -295,7 +295,7 @@
             assert time_left_ms is not None
             assert 0.0 < time_left_ms < 4000.0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def skip_reuse_delay(pool: ConnectionPool) -> None:
@@ -342,7 +342,7 @@
             assert (await client.read_response())[2] == b"third"
             assert len(connections) == 2
         server.close()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_connections_are_reused_for_one_request_at_a_time() -> None:
@@ -362,7 +362,7 @@
             await wait_until(lambda: len(backend.requests) == 7)
             assert backend.connection_count == 2
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("unsolicited", [b"", b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", b"?"])
@@ -383,7 +383,7 @@
             assert await client.read_status() == 200
             assert backend.connection_count == 2
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_response_with_connection_close_ends_its_connection() -> None:
@@ -400,7 +400,7 @@
                 assert await client.read_status() == 200
                 assert backend.connection_count == number
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_proxy_closes_an_idle_connection_before_the_idle_timeout() -> None:
@@ -417,7 +417,7 @@
             assert await client.read_status() == 200
             assert backend.connection_count == 2
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_client_disconnect_does_not_abort_an_attempt_that_was_sent() -> None:
@@ -437,7 +437,7 @@
             assert (event.outcome, event.request_finished) == (Outcome.OK, True)
             await wait_until(lambda: harness.proxy.driver.requests == {})
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_nothing_is_sent_for_a_client_that_disconnects_during_connect() -> None:
@@ -466,7 +466,7 @@
             assert [message[2] for message in backend.requests] == [b"stays"]
             assert backend.connection_count == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_at_the_connection_limit_idle_connections_close_and_then_calls_are_not_sent() -> None:
@@ -492,7 +492,7 @@
             [Outcome.OK], [], [Outcome.NOT_SENT])
         await first.stop()
         await second.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_probe_fetches_the_load_report() -> None:
@@ -506,7 +506,7 @@
             assert (event.endpoint, event.outcome, event.load_report) == ("b", Outcome.OK, (4.0, 5.0))
             assert backend.requests[0][0] == b"GET /stats HTTP/1.1"
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_incomplete_response_times_out_early_enough_for_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -524,7 +524,7 @@
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert len({r[1][b"idempotency-key"] for r in backend.requests}) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("trailing_data", [make_response(200, b"another's"), b"noise"])
@@ -549,7 +549,7 @@
         assert (backend.connection_count, len(backend.requests)) == (2, 2)
         await wait_until(lambda: backend.closed_connection_count == 1)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_connection_with_trailing_data_is_not_reused_and_its_backend_not_ejected() -> None:
@@ -567,7 +567,7 @@
             assert backend.connection_count == 2
             assert harness.proxy.driver.balancer.host_set.servers["b"].ejections == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_pool_learns_when_a_backend_closes_idle_connections(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -595,7 +595,7 @@
         await with_timeout(third.finished.wait())
         assert (backend.connection_count, third.outcomes) == (3, [Outcome.OK])
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_long_response_in_pieces_is_forwarded_whole(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -621,7 +621,7 @@
             assert (await harness.wait_for_ended_attempt()).outcome is Outcome.OK
             assert harness.proxy.pool.buffered_bytes == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_total_size_of_incomplete_responses_is_limited(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -641,4 +641,4 @@
             assert (await harness.wait_for_ended_attempt()).outcome is Outcome.ERROR
             assert harness.proxy.pool.buffered_bytes == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,7 +19,7 @@
     make_config,
     make_response,
     received_lists,
-    run_with_timeout,
+    run_test,
     started_proxy,
     synced_proxy,
     wait_for_list,
@@ -66,7 +66,7 @@
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             assert b"after=7&" in harness.discovery.request_lines[2]
             assert len(harness.discovery.connections) == 1
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("changes", [0, 1])
@@ -96,7 +96,7 @@
             # The poll for the full list is never answered and times out, and another poll follows.
             await wait_until(lambda: len(harness.discovery.request_lines) >= 4)
             assert harness.discovery.request_lines[2].startswith(b"GET /registry/instances HTTP")
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_draining_backend_gets_no_new_requests_and_a_full_list_replaces_the_current_one() -> None:
@@ -120,7 +120,7 @@
             assert len(one.requests) == 3
         await one.stop()
         await two.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("change", [{"lifecycle": "removed"}, {"lifecycle": "draining"}, {"startedAtMs": 99}])
@@ -138,7 +138,7 @@
             await wait_until(lambda: backend.closed_connection_count == 1)
             assert harness.proxy.pool.has_endpoint("b") == (change.get("lifecycle") != "removed")
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_connection_in_use_is_not_reused_after_its_backend_has_changed_address() -> None:
@@ -160,7 +160,7 @@
             await wait_until(lambda: old.closed_connection_count == 1)
         await old.stop()
         await new.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
@@ -191,7 +191,7 @@
             event = await wait_for_list(harness, 2)
             assert [e.id for e in event.endpoints] == ["c"]
             assert harness.proxy.pool.has_endpoint("b")
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_proxy_is_ready_only_once_discovery_has_answered() -> None:
@@ -205,7 +205,7 @@
             harness.discovery.publish(1, discovery_entry("b", 1))
             await wait_until(lambda: harness.proxy.watch.initialized)
             assert await client.round_trip(readiness_check) == 200
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_poll_in_the_queue_of_discovery_does_not_time_out_early() -> None:
@@ -219,7 +219,7 @@
             assert timer is not None
             assert 3.0 < timer.when() - asyncio.get_running_loop().time() < 6.0
         await new_discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -257,7 +257,7 @@
         assert harness.task is not None
         harness.task.cancel()
         await discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_with_polled_discovery_the_balancer_is_notified_of_failed_polls() -> None:
@@ -276,7 +276,7 @@
             await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FULL)
             assert not harness.proxy.pool.has_endpoint("b")
         await asyncio.sleep(0)
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_answer_to_a_poll_in_flight_is_not_taken_as_the_full_list_requested_meanwhile() -> None:
@@ -291,7 +291,7 @@
             assert harness.proxy.pool.has_endpoint("c")
             harness.discovery.publish(2, discovery_entry("c", 2), reset=True)
             await wait_until(lambda: not harness.proxy.pool.has_endpoint("b"))
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_rejected_poll_does_not_count_as_timed_out() -> None:
@@ -306,7 +306,7 @@
                 )
                 assert harness.proxy.watch.poll_timer is None  # The next poll is up to the balancer.
             assert not harness.proxy.watch.initialized
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -324,7 +324,7 @@
                 harness.proxy.watch.watch()  # as the balancer requests
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             assert b"&wait_ms=0 " in harness.discovery.request_lines[2]
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_where_lists_are_pushed_polls_are_retried_within_the_drain_grace_period() -> None:
@@ -358,4 +358,4 @@
         for backend in (draining, remaining):
             await backend.stop()
         await discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_discovery_address_change.py
+++ b/tests/test_discovery_address_change.py
@@ -15,7 +15,7 @@
     discovery_entry,
     make_response,
     received_lists,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
     with_timeout,
@@ -64,7 +64,7 @@
             assert len(new_discovery.connections) == 1
         await new_discovery.stop()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_after_several_quick_address_changes_the_proxy_polls_the_last_address() -> None:
@@ -85,7 +85,7 @@
             await wait_until(lambda: not first.connections)
         await first.stop()
         await last.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_proxy_retries_a_new_address_until_discovery_answers_there() -> None:
@@ -105,7 +105,7 @@
             assert new_discovery.request_lines[:2] == [
                 b"GET /registry/instances?after=1&wait_ms=0 HTTP/1.1"] * 2
         await new_discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_address_can_change_while_the_proxy_drains() -> None:
@@ -125,7 +125,7 @@
             assert await client.read_status() == 200
         await new_discovery.stop()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("address_changes", [True, False])
@@ -159,4 +159,4 @@
             await wait_until(lambda: len(current_discovery.request_lines) == earlier_polls + 3)
             assert b"?after=0&" in current_discovery.request_lines[-1]
         await new_discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -14,7 +14,7 @@
     Backend,
     Client,
     make_response,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
     with_timeout,
@@ -52,7 +52,7 @@
             other.send()
             assert await other.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("path", [b"/", b"/apis", b"/health", b"/health/ready/x", b"*"])
@@ -66,7 +66,7 @@
             client.send()
             assert await client.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_requests_on_one_connection_are_answered_in_order() -> None:
@@ -83,7 +83,7 @@
             assert [(await client.read_response())[2] for _ in request_ids] == [b"one", b"two", b"three"]
             assert [r[1][b"x-correlation-id"].decode() for r in backend.requests] == request_ids
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("request_count", [downstream.MAX_PIPELINED_REQUESTS + 1, 400])
@@ -108,7 +108,7 @@
                 lambda: not harness.proxy.driver.requests and harness.proxy.driver.open_request_count == 0
             )
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("raw", [
@@ -133,7 +133,7 @@
             await wait_until(lambda: not harness.proxy.frontend.connections)
             assert backend.requests == []
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_final_response_arrives_even_if_input_follows_the_request() -> None:
@@ -146,7 +146,7 @@
             assert await client.read_status() == 200
             await wait_until(lambda: not harness.proxy.frontend.connections)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /api HTTP/1.1\r\nContent-Le", b"GET /none HTTP/1.1\r\n\r\n"])
@@ -163,7 +163,7 @@
             frontend = harness.proxy.frontend
             await wait_until(lambda: not frontend.connections)
             assert not any((frontend.awaiting_first_byte, frontend.receiving, frontend.idle))
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_excessive_time_left_is_limited_to_the_deadline_of_the_class() -> None:
@@ -179,7 +179,7 @@
             assert time_left_ms is not None
             assert time_left_ms <= 5000.0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_valid_request_is_answered_before_the_malformed_one_that_follows_it() -> None:
@@ -193,7 +193,7 @@
             assert await client.read_status() == 400
             assert await client.reaches_eof()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_client_that_expects_100_continue_gets_it() -> None:
@@ -210,7 +210,7 @@
             assert backend.requests[0][2] == b"ok"
             assert b"expect" not in backend.requests[0][1]
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_request_above_the_limit_on_open_requests_is_rejected_at_once() -> None:
@@ -225,7 +225,7 @@
             assert await second.read_status() == 503
             assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_second_request_with_the_id_of_an_open_one_gets_a_409() -> None:
@@ -241,7 +241,7 @@
                 writer.write(make_response())
             assert await first.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_above_the_connection_limit_waiting_clients_are_evicted_and_then_new_ones_are_rejected(
@@ -282,7 +282,7 @@
             for client in (busy, idle, replacement):
                 assert await client.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_many_rejected_clients_stay_within_the_connection_limit_and_all_get_a_response(
@@ -310,7 +310,7 @@
             assert await busy.read_status() == 200
             assert await busy.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_incomplete_request_times_out_with_a_408(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -328,7 +328,7 @@
             idle.send()  # the idle connection stays open
             assert await idle.read_status() == 200
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_draining_serves_the_open_requests_and_closes_idle_connections() -> None:
@@ -358,7 +358,7 @@
             assert harness.task is not None
             await with_timeout(asyncio.shield(harness.task))  # ends once all connections are closed
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_client_in_the_accept_queue_is_served_when_the_listener_closes() -> None:
@@ -383,7 +383,7 @@
             await with_timeout(asyncio.shield(harness.task))
             assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_before_the_process_ends_new_requests_are_rejected_and_responses_are_fully_written(
@@ -427,7 +427,7 @@
             await wait_until(harness.proxy.stopped.is_set)
             assert len(backend.requests) == 1
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_draining_ends_even_if_a_backend_never_responds(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -445,4 +445,4 @@
             assert harness.task is not None
             await with_timeout(asyncio.shield(harness.task))
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_host_set.py
+++ b/tests/test_host_set.py
@@ -19,30 +19,30 @@
 @pytest.mark.parametrize("state", [api.EndpointState.DRAINING, api.EndpointState.GONE])
 def test_draining_and_gone_servers_get_no_calls(state: api.EndpointState) -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
-    harness.update_endpoints([make_endpoint("a0", state=state)], api.ListKind.CHANGES)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
+    harness.feed_list([make_endpoint("a0", state=state)], api.ListKind.CHANGES)
     assert set(harness.run_requests(500)) == {"a1", "a2", "a3"}
 
 
 def test_a_server_missing_from_a_full_list_is_removed() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS[1:])
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS[1:])
     assert set(harness.run_requests(500)) == {"a1", "a2", "a3"}
 
 
 def test_a_failed_poll_keeps_the_current_endpoint_list() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
-    harness.update_endpoints([], api.ListKind.FAILED)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
+    harness.feed_list([], api.ListKind.FAILED)
     assert set(harness.run_requests(500)) == {"a0", "a1", "a2", "a3"}
 
 
 def test_calls_to_a_cold_server_increase_during_warm_up() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a1"), make_endpoint("a2")])
+    harness.feed_list([make_endpoint("a1"), make_endpoint("a2")])
     harness.run_requests(9000)  # The balancer learns the response rate of a warm server.
-    harness.update_endpoints([make_endpoint("a0", started_ms=harness.now_ms), make_endpoint("a1")])
+    harness.feed_list([make_endpoint("a0", started_ms=harness.now_ms), make_endpoint("a1")])
     calls_while_cold = harness.run_requests(1000)
     harness.now_ms += 10000
     calls_when_warm = harness.run_requests(1000)
@@ -54,9 +54,9 @@
 
 def test_a_restarted_server_is_cold_again() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("a1")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("a1")])
     harness.run_requests(9000)
-    harness.update_endpoints([make_endpoint("a0", started_ms=harness.now_ms)], api.ListKind.CHANGES)
+    harness.feed_list([make_endpoint("a0", started_ms=harness.now_ms)], api.ListKind.CHANGES)
     sent = harness.run_requests(500)
     assert 0.0 < sent["a0"] / sent["a1"] < 0.4
 
@@ -67,9 +67,9 @@
         make_settings(
         rules=api.Rules(slow_start_share=0.2, warm_up_ms=10000, poll_interval_ms=10000))
     )
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(10)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(10)])
     harness.run_requests(9000)
-    harness.update_endpoints([make_endpoint("a10", started_ms=harness.now_ms)])
+    harness.feed_list([make_endpoint("a10", started_ms=harness.now_ms)])
     sent = 0
     for _ in range(2000):  # This is two seconds of the traffic of ten warm servers.
         sent += isinstance(harness.start_request()[0], api.Send)
@@ -83,7 +83,7 @@
 def test_requests_are_still_sent_after_two_resets_at_the_only_server_of_the_local_zone() -> None:
     """Outlier detection must not stop the traffic, even if the only server of the local zone fails."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("b0", "b")])
     for _ in range(2):
         harness.start_request()
         harness.end_attempt(api.Outcome.RESET, request_finished=True)
@@ -103,7 +103,7 @@
     rng, peak_rates = random.Random(5), []
     for seed in range(10):
         harness = BalancerHarness(make_settings(balancer_count=balancers), seed)
-        harness.update_endpoints([make_endpoint(f"a{i}") for i in range(10)])
+        harness.feed_list([make_endpoint(f"a{i}") for i in range(10)])
         for _ in range(round(300 * calls_per_s)):
             # `end_attempt` advances the clock by the other 50 ms.
             harness.now_ms += rng.expovariate(calls_per_s) * 1000.0 - 50.0
@@ -118,7 +118,7 @@
     """When a zone has lost all its servers, the first to start again must not get all calls of the zone."""
     harness = BalancerHarness()
     others = [make_endpoint(f"b{i}", "b") for i in range(20)]
-    harness.update_endpoints([make_endpoint("a0", started_ms=harness.now_ms), *others])
+    harness.feed_list([make_endpoint("a0", started_ms=harness.now_ms), *others])
     sent = [a.endpoint for _ in range(100) for a in harness.start_request() if isinstance(a, api.Send)]
     assert len(sent) > 20
     assert sent.count("a0") <= 2
@@ -127,7 +127,7 @@
 def test_ejected_servers_get_no_calls_when_the_usable_servers_are_at_their_limit() -> None:
     """Calls must not go to failed servers, even when the healthy ones are at their concurrency limit."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("a1"), make_endpoint("b0", "b")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("a1"), make_endpoint("b0", "b")])
     servers = harness.balancer.host_set.servers
     while not (servers["a0"].ejections and servers["a1"].ejections):
         server = expect_single_send(harness.start_request()).endpoint
@@ -147,6 +147,6 @@
     """
     harness = BalancerHarness(make_settings(tier=1, tier_count=2, balancer_count=30))
     others = [make_endpoint(f"b{i}", "b") for i in range(20)]
-    harness.update_endpoints([make_endpoint("a0", started_ms=harness.now_ms), *others])
+    harness.feed_list([make_endpoint("a0", started_ms=harness.now_ms), *others])
     sent = [expect_single_send(harness.start_request()).endpoint for _ in range(200)]
     assert sent.count("a0") <= 20
--- a/tests/test_hung_calls.py
+++ b/tests/test_hung_calls.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from honeywharf import interface as api
-from tests.proxy_harness import Backend, Client, run_with_timeout, synced_proxy, wait_until
+from tests.proxy_harness import Backend, Client, run_test, synced_proxy, wait_until
 
 Outcome = api.Outcome
 
@@ -40,7 +40,7 @@
             assert balancer.host_set.zones["z"].in_flight == 0
             assert balancer.host_set.servers["b"].ejections == 0
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_hung_call_that_may_run_only_once_is_not_retried() -> None:
@@ -66,4 +66,4 @@
                 Outcome.TIMEOUT
             ]
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -21,7 +21,7 @@
     make_config,
     make_response,
     received_lists,
-    run_with_timeout,
+    run_test,
     started_proxy,
     synced_proxy,
     wait_for_list,
@@ -83,7 +83,7 @@
             assert draining.requests == []
         for backend in (draining, remaining):
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -146,7 +146,7 @@
             assert await client.read_status() == 200
         for backend in (draining, remaining):
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_pushed_list_does_not_expire_while_the_agent_is_down() -> None:
@@ -174,7 +174,7 @@
             watch._on_expiry_due()
             assert watch.expiry.expired
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_an_attempt_that_waits_for_a_connection_is_aborted_when_the_list_expires() -> None:
@@ -194,7 +194,7 @@
             await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert backend.requests == []
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_list_stays_current_if_discovery_is_down_and_expires_4_s_after_an_address_change() -> None:
@@ -224,7 +224,7 @@
         assert harness.task is not None
         harness.task.cancel()
         await new_discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -270,7 +270,7 @@
             assert (len(draining.requests), len(remaining.requests)) == (0, 12)
         for backend in (draining, remaining):
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_poll_sent_too_late_to_continue_a_watch_does_not_wait_for_changes() -> None:
@@ -306,4 +306,4 @@
         assert harness.task is not None
         harness.task.cancel()
         await discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -22,7 +22,7 @@
 from tests.balancer_harness import (
     TWO_ZONE_ENDPOINTS,
     BalancerHarness,
-    expect_single_refusal,
+    expect_only_refusal,
     expect_single_send,
 )
 from tests.proxy_harness import (
@@ -31,7 +31,7 @@
     ProxyHarness,
     discovery_entry,
     make_response,
-    run_with_timeout,
+    run_test,
     started_proxy,
     synced_proxy,
     wait_until,
@@ -101,9 +101,9 @@
     # The attempt must not wait for a connection beyond the expiry of the list.
     assert expect_single_send(harness.start_request()).send_within_ms == 100.0
     harness.now_ms += 100.0
-    expect_single_refusal(harness.start_request())
-    harness.update_endpoints([], api.ListKind.FAILED)
-    expect_single_refusal(harness.start_request())
+    expect_only_refusal(harness.start_request())
+    harness.feed_list([], api.ListKind.FAILED)
+    expect_only_refusal(harness.start_request())
     harness.feed(api.ListExpiryChanged(harness.now_ms + 50.0))
     expect_single_send(harness.start_request())
 
@@ -136,7 +136,7 @@
     async def main() -> None:
         async with proxy_after_delayed_response(mode) as harness:
             assert seconds_to_list_expiry(harness) <= (MAX_AGE_MS - TRANSIT_MS) / 1000.0
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_503_to_a_poll_that_may_have_opened_a_new_watch_does_not_extend_the_expiry() -> None:
@@ -154,7 +154,7 @@
             harness.discovery.responses.put_nowait(make_response(503))
             await wait_until(lambda: harness.proxy.watch.poll is None)
             assert harness.proxy.watch.freshness.expires_ms == expires_ms
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("response_end", ["complete", "truncated"])
@@ -198,7 +198,7 @@
             assert (len(removed.requests), len(kept.requests)) == (0, 12)
         for backend in (removed, kept):
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_discovery_that_has_started_its_response_is_not_considered_down() -> None:
@@ -223,7 +223,7 @@
             watch.poll.sent_ms -= 1000.0
             watch._on_expiry_due()
             assert watch.expiry.expired
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize(
@@ -243,4 +243,4 @@
             await asyncio.sleep(0.002)
             watch._connect_failed(OSError(error_number, "x"))
             assert (watch.freshness.expires_ms > expires_ms) == (error_number == errno.ECONNREFUSED)
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_outlier.py
+++ b/tests/test_outlier.py
@@ -26,7 +26,7 @@
 
 def test_failed_connections_eject_a_server_and_a_trial_call_readmits_it() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     end_calls_at(harness, "a0", api.Outcome.CONNECT_FAILED, 2)
     assert "a0" not in harness.run_requests(300)
     harness.now_ms += 4000
@@ -37,7 +37,7 @@
     api.Outcome.CONNECT_FAILED, api.Outcome.CONNECT_TIMEOUT, api.Outcome.RESET, api.Outcome.TIMEOUT])
 def test_one_connection_error_or_timeout_does_not_eject_the_server(outcome: api.Outcome) -> None:
     harness = BalancerHarness()
-    harness.update_endpoints(TWO_ZONE_ENDPOINTS)
+    harness.feed_list(TWO_ZONE_ENDPOINTS)
     harness.run_requests(100)
     end_calls_at(harness, "a0", outcome, 1)
     assert "a0" in harness.run_requests(300)
@@ -51,7 +51,7 @@
     """
     for outcome, expected_ejected in ((api.Outcome.CONNECT_FAILED, 3), (api.Outcome.CONNECT_TIMEOUT, 1)):
         harness = BalancerHarness(make_settings(limits=api.Limits(max_attempts=1)))
-        harness.update_endpoints(TWO_ZONE_ENDPOINTS[:4])
+        harness.feed_list(TWO_ZONE_ENDPOINTS[:4])
         harness.run_requests(100)
         servers = harness.balancer.host_set.servers
         for name in list(servers)[:3]:
@@ -61,7 +61,7 @@
 
 def test_consecutive_errors_eject_a_server() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b"), make_endpoint("b1", "b")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("b0", "b"), make_endpoint("b1", "b")])
     harness.run_requests(4, api.Outcome.ERROR)
     assert set(harness.run_requests(50)) == {"b0", "b1"}
 
@@ -72,7 +72,7 @@
     If such errors ejected all servers of a zone, the other zones could not serve all calls.
     """
     harness = BalancerHarness()
-    harness.update_endpoints(
+    harness.feed_list(
         [make_endpoint("a0"), make_endpoint("a1"), make_endpoint("b0", "b"), make_endpoint("b1", "b")]
     )
     harness.run_requests(40, api.Outcome.ERROR)
@@ -84,7 +84,7 @@
 def test_the_only_failing_server_is_ejected_while_another_is_ejected() -> None:
     """A failing server attracts most calls if it is not ejected: it fails fast, so it has free capacity."""
     harness = BalancerHarness()
-    harness.update_endpoints(
+    harness.feed_list(
         [make_endpoint(f"a{i}") for i in range(2)] + [make_endpoint(f"b{i}", "b") for i in range(2)]
     )
     harness.run_requests(200)
@@ -101,7 +101,7 @@
 
 def test_one_error_does_not_eject_the_server() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("b0", "b")])
     harness.run_requests(1, api.Outcome.ERROR)
     assert set(harness.run_requests(50)) == {"a0"}
 
@@ -122,7 +122,7 @@
 def test_a_slow_server_is_ejected() -> None:
     """An overloaded server that still responds, but slowly, must not keep its share of the calls."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     run_successful_calls(harness, 100, set())
     run_successful_calls(harness, 60, {"a0"})
     assert "a0" not in run_successful_calls(harness, 40, {"a0"})
@@ -130,7 +130,7 @@
 
 def test_at_most_a_third_of_a_zone_is_ejected_when_all_its_servers_are_slow() -> None:
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     run_successful_calls(harness, 100, set())
     all_servers = {f"a{i}" for i in range(6)}
     for _ in range(50):
@@ -143,7 +143,7 @@
 def test_a_server_that_times_out_for_one_class_is_ejected_for_that_class_alone() -> None:
     """A server may respond to the calls of one class while those of another time out."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     harness.run_requests(100)
     unresponsive_server = "a0"
     # Pretend that the previous call at the server failed too, because one timeout alone does not eject.
@@ -167,7 +167,7 @@
 def test_a_server_that_fails_one_class_is_ejected_for_that_class_alone() -> None:
     """A successful trial call of another class must not readmit the server for the class that it fails."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(4)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(4)])
     sent = {"read": 0, "write": 0}
     for i in range(1200):
         class_name = ("read", "write")[i % 2]
@@ -187,7 +187,7 @@
     Both timeouts are at a0, the server of the local zone.
     """
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint("a0"), make_endpoint("b0", "b")])
+    harness.feed_list([make_endpoint("a0"), make_endpoint("b0", "b")])
     for _ in range(2):
         harness.start_request("write")
         harness.end_attempt(api.Outcome.TIMEOUT, after_ms=2000)
@@ -197,7 +197,7 @@
 def test_a_server_that_rejects_a_call_is_ejected() -> None:
     """An overloaded server stays overloaded if it is sent a new call whenever it finishes one."""
     harness = BalancerHarness()
-    harness.update_endpoints([make_endpoint(f"a{i}") for i in range(6)])
+    harness.feed_list([make_endpoint(f"a{i}") for i in range(6)])
     overloaded_server = expect_single_send(harness.start_request()).endpoint
     harness.end_attempt(api.Outcome.REJECTED, request_finished=True)
     assert overloaded_server not in harness.run_requests(300)
--- a/tests/test_short_deadlines.py
+++ b/tests/test_short_deadlines.py
@@ -5,7 +5,7 @@
 import pytest
 
 from honeywharf import interface as api
-from tests.proxy_harness import Backend, Client, make_response, run_with_timeout, synced_proxy
+from tests.proxy_harness import Backend, Client, make_response, run_test, synced_proxy
 
 USUAL_LATENCY_S = 0.25  # This is far more than the short deadline.
 SHORT_DEADLINE = "70m"  # 70 ms
@@ -46,7 +46,7 @@
             assert {name: zone.limit for name, zone in balancer.host_set.zones.items()} == limits_before
         for backend in backends:
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_server_that_fails_calls_with_long_deadlines_is_ejected() -> None:
@@ -63,4 +63,4 @@
             assert harness.proxy.driver.balancer.host_set.servers["b0"].ejections > 0
         for backend in backends:
             await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -25,7 +25,7 @@
     ProxyHarness,
     RecordingCall,
     make_response,
-    run_with_timeout,
+    run_test,
     synced_proxy,
     wait_until,
     with_timeout,
@@ -109,7 +109,7 @@
         assert sorted(body for _, _, body in backend.requests) == sorted(
             [b"once", *[b"%d" % i for i in range(slow_connect_count)]])
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_request_succeeds_if_the_first_connection_is_never_established() -> None:
@@ -120,7 +120,7 @@
             assert await client.read_status() == 200
             assert [e.outcome for e in harness.ended_attempts()] == [Outcome.OK]
             assert len(backend.requests) == 1
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_requests_succeed_despite_slow_connections_when_no_connection_is_reused() -> None:
@@ -133,7 +133,7 @@
                 assert await client.read_status() == 200
             assert {e.outcome for e in harness.ended_attempts()} == {Outcome.OK}
             assert (loop.connect_count, len(backend.requests)) == (5, 3)
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_waiting_call_takes_a_connection_that_another_call_releases() -> None:
@@ -150,7 +150,7 @@
         assert (first.outcomes, second.outcomes, loop.connect_count) == ([Outcome.OK], [Outcome.OK], 2)
         assert [body for _, _, body in backend.requests] == [b"first", b"second"]
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_further_connections_respect_the_limit_and_evict_no_idle_connection() -> None:
@@ -172,7 +172,7 @@
         assert call.outcomes == [Outcome.OK]
         await backend.stop()
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_connects_to_an_unresponsive_backend_back_off() -> None:
@@ -194,7 +194,7 @@
         await with_timeout(call.finished.wait())
         assert (call.outcomes, pool.backends["b"].consecutive_slow_connects) == ([Outcome.OK], 0)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_refused_connection_beside_a_slow_one_is_not_retried() -> None:
@@ -206,7 +206,7 @@
         await with_timeout(call.finished.wait())
         assert (call.outcomes, loop.connect_count) == ([Outcome.CONNECT_FAILED], 2)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_lack_of_file_descriptors_fails_no_call_with_a_pending_connection() -> None:
@@ -226,7 +226,7 @@
         await with_timeout(call.finished.wait())
         assert (call.outcomes, pool.total_connections) == ([Outcome.NOT_SENT], 1)
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("change", ["drains", "is removed", "restarts", "moves"])
@@ -252,7 +252,7 @@
         assert (pool.total_connections, backend.requests, other.requests) == (0, [], [])
         await backend.stop()
         await other.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_nothing_is_sent_for_a_client_that_disconnects_during_several_connects() -> None:
@@ -272,7 +272,7 @@
             assert (loop.connect_count, len(harness.proxy.pool.backends["b"].idle_connections)) == (
                 connect_count, connect_count)
             assert backend.requests == []
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_a_call_that_times_out_while_it_waits_for_a_connection_is_not_sent() -> None:
@@ -287,7 +287,7 @@
             loop.connections_allowed.set()
             await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert backend.requests == []
-    run_with_timeout(main())
+    run_test(main())
 
 
 @pytest.mark.parametrize("slow", [True, False])
@@ -312,7 +312,7 @@
             assert first.outcome is Outcome.ERROR
             assert second.outcome is (Outcome.NOT_SENT if slow else Outcome.OK)
             assert len(backend.requests) == (1 if slow else 2)
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_the_slow_threshold_follows_the_faster_connections_and_ignores_slow_ones() -> None:
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -16,7 +16,7 @@
     Discovery,
     ProxyHarness,
     make_config,
-    run_with_timeout,
+    run_test,
     wait_until,
 )
 
@@ -117,4 +117,4 @@
             harness.proxy.frontend.stop_listening()
             await harness.discovery.stop()
         await backend.stop()
-    run_with_timeout(main())
+    run_test(main())
--- a/tests/test_stale_list_after_downtime.py
+++ b/tests/test_stale_list_after_downtime.py
@@ -20,7 +20,7 @@
     Client,
     Discovery,
     make_response,
-    run_with_timeout,
+    run_test,
     wait_until,
 )
 from tests.proxy_process import ProxyProcess
@@ -122,7 +122,7 @@
         for backend in (remaining, removed):
             await backend.stop()
         await discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
 
 
 def test_nothing_is_sent_to_servers_removed_while_the_process_was_stopped(tmp_path: Path) -> None:
@@ -153,4 +153,4 @@
             assert len(removed.requests) == 1
         await removed.stop()
         await discovery.stop()
-    run_with_timeout(main())
+    run_test(main())
