--- a/honeywharf/net/__init__.py
+++ b/honeywharf/net/__init__.py
@@ -1,1 +1,1 @@
-"""The real proxy: sockets, timers and configuration round the decision module."""
+"""The proxy around the balancer: sockets, timers, configuration and service discovery."""
--- a/honeywharf/net/attempts.py
+++ b/honeywharf/net/attempts.py
@@ -1,4 +1,4 @@
-"""The state of a request in the table, of each of its attempts, and of a health check."""
+"""The state of a pending request, of its attempts and of a health check."""
 
 from __future__ import annotations
 
@@ -10,88 +10,90 @@
 from honeywharf.net.clock import Clock, Timer
 
 
-class AttemptOwner(Protocol):
-    """What attempts and probes need of the driver that they belong to."""
+class CallOwner(Protocol):
+    """The part of the driver that attempts and probes use."""
 
     clock: Clock
 
     def client_disconnected(self, request: http1.Request) -> None:
-        """Take note that the client of the request has left."""
+        """Finish the request of a client that has disconnected."""
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, response: http1.Response | None) -> None:
-        """Record an attempt's one outcome."""
+        """Record the outcome of an attempt."""
 
     def probe_ended(self, probe: Probe, outcome: api.Outcome, response: http1.Response | None) -> None:
-        """Record the result of a probe."""
+        """Record the outcome of a probe."""
 
 
 class PendingRequest:
     """A request in the driver's table.
 
-    It stays there until it is over, its attempts have ended and the decision module has been told.
+    It stays there until it is finished, its attempts have ended and the balancer has processed its events.
     """
 
     __slots__ = (
-        "attempts", "caller", "deadline_at_ms", "head", "live_attempts", "over", "queued_events", "request",
-        "timer",
+        "active_attempt_count", "attempts", "client", "deadline_at_ms", "finished", "head",
+        "queued_event_count", "request", "timer",
     )
 
-    def __init__(self, request: http1.Request, caller: Client, deadline_at_ms: float) -> None:
-        self.request, self.caller, self.deadline_at_ms = request, caller, deadline_at_ms
+    def __init__(self, request: http1.Request, client: Client, deadline_at_ms: float) -> None:
+        self.request, self.client, self.deadline_at_ms = request, client, deadline_at_ms
         self.head = request.head()
-        self.attempts: list[Attempt | None] = []  # None where it was never sent
-        self.live_attempts = 0
-        self.queued_events = 0  # events about it that are not processed yet
-        self.over = False
+        self.attempts: list[Attempt | None] = []  # None for an attempt that was not started
+        self.active_attempt_count = 0
+        self.queued_event_count = 0  # events of the request that are not processed yet
+        self.finished = False  # it needs no further answer: it is answered, or its client is gone
         self.timer: Timer | None = None
 
 
 class Attempt(Call):
     """One attempt of a request."""
 
-    __slots__ = ("__weakref__", "live", "number", "owner", "pending", "send_by_ms", "started_ms", "timer")
+    __slots__ = (
+        "__weakref__", "active", "latest_send_ms", "number", "owner", "pending", "started_ms", "timer",
+    )
 
     def __init__(
-        self, owner: AttemptOwner, pending: PendingRequest, endpoint: str, now: float, deadline_at_ms: float,
-        send_by_ms: float,
+        self, owner: CallOwner, pending: PendingRequest, endpoint: str, now_ms: float, deadline_at_ms: float,
+        latest_send_ms: float,
     ) -> None:
         super().__init__(endpoint, pending.head, pending.request.body, deadline_at_ms)
-        self.owner, self.pending, self.number, self.started_ms = owner, pending, len(pending.attempts), now
-        self.send_by_ms = send_by_ms
-        self.live = True
+        self.owner, self.pending, self.number, self.started_ms = owner, pending, len(pending.attempts), now_ms
+        self.latest_send_ms = latest_send_ms
+        self.active = True  # it has no outcome yet
         self.timer: Timer | None = None
 
     def may_be_sent(self) -> bool:
-        """Whether its client is still connected and the time in which it may be sent has not run out.
+        """Return whether the client is still connected and the latest time to send has not passed.
 
-        Guards against attempts that are sent after their client left: its close may wait unread in the system
-        behind a busy loop, a pipelined request, or the outcome that this attempt follows on. Guards too
-        against repeats that are sent after the window in which backends drop duplicates, because their
-        connection came up late.
+        The client may have disconnected without the event loop having read it: the close waits in the socket
+        while the loop is busy, or behind a pipelined request or the outcome that led to this attempt. The
+        latest time to send prevents retries that go out only after the window in which backends drop
+        duplicates, because their connection was slow to connect.
         """
-        if self.owner.clock.now() > self.send_by_ms:
+        if self.owner.clock.now() > self.latest_send_ms:
             return False
-        if not self.pending.over and self.pending.caller.disconnected():
+        if not self.pending.finished and self.pending.client.disconnected():
             self.owner.client_disconnected(self.pending.request)
-        return not self.pending.over
+        return not self.pending.finished
 
     def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
-        """Pass the outcome to the owner."""
+        """Report the outcome to the driver."""
         self.owner.attempt_ended(self, outcome, response)
 
 
 class Probe(Call):
     """A health check of a backend."""
 
-    __slots__ = ("live", "owner", "started_ms", "timer")
+    __slots__ = ("active", "owner", "started_ms", "timer")
 
     def __init__(
-        self, owner: AttemptOwner, endpoint: str, head: bytes, now: float, deadline_at_ms: float,
+        self, owner: CallOwner, endpoint: str, head: bytes, now_ms: float, deadline_at_ms: float,
     ) -> None:
         super().__init__(endpoint, head, b"", deadline_at_ms, is_probe=True)
-        self.owner, self.started_ms, self.live = owner, now, True
+        self.owner, self.started_ms, self.active = owner, now_ms, True
         self.timer: Timer | None = None
 
     def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
-        """Pass the result to the owner."""
+        """Report the outcome to the driver."""
         self.owner.probe_ended(self, outcome, response)
--- a/honeywharf/net/calls.py
+++ b/honeywharf/net/calls.py
@@ -1,7 +1,7 @@
-"""A call to a backend, and the interfaces between the driver and its surroundings.
+"""A call to a backend, and the interfaces through which the driver uses sockets.
 
-They keep the driver free of sockets: callers, backends and discovery are behind `Client`, `ConnectionPool`
-and `DiscoveryClient`.
+`Client`, `ConnectionPool` and `DiscoveryClient` stand for the clients, the backends and service discovery, so
+that the driver itself does no I/O.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class Client(Protocol):
-    """The source of a request, which receives its one final answer."""
+    """The client of a request, which receives at most one final answer."""
 
     def answer(
         self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
@@ -21,11 +21,18 @@
         """Write the final answer."""
 
     def disconnected(self) -> bool:
-        """Whether it has closed or cancelled, according to the operating system at this moment."""
+        """Return whether the client has closed the connection or its sending side.
+
+        This asks the operating system, because the event loop may not have read the close yet.
+        """
 
 
 class Call:
-    """One exchange with a backend. The transport calls `complete` once, unless the call is aborted."""
+    """A request to a backend and its response.
+
+    The connection pool calls `complete` once, unless the call is aborted. `head` lacks the headers that depend
+    on the time or on the connection; they are added when the request is written.
+    """
 
     __slots__ = (
         "awaiting_connection", "body", "connection", "deadline_at_ms", "endpoint", "head", "is_probe",
@@ -38,42 +45,42 @@
         self.endpoint, self.head, self.body = endpoint, head, body
         self.deadline_at_ms, self.is_probe = deadline_at_ms, is_probe
         self.connection: object = None
-        self.awaiting_connection = False  # until it gets a connection
-        self.written_ms: float | None = None  # when its bytes were written; None before that
+        self.awaiting_connection = False  # it is queued for a connection
+        self.written_ms: float | None = None  # None until it is written to the socket
 
     def may_be_sent(self) -> bool:
-        """Whether it may still be sent: asked just before its bytes are written."""
+        """Return whether the call may still be sent; checked just before it is written to the socket."""
         return True
 
     def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
-        """Take the outcome of the call."""
+        """Receive the outcome of the call."""
         raise NotImplementedError
 
 
 class ConnectionPool(Protocol):
-    """Carries calls to the backends."""
+    """Sends calls to the backends."""
 
     def has_endpoint(self, endpoint: str) -> bool:
-        """Whether a list has named the endpoint."""
+        """Return whether the endpoint is known from an endpoint list."""
 
     def start(self, call: Call) -> None:
         """Start the call; `complete` is called later, never from within this method."""
 
     def abort(self, call: Call) -> None:
-        """Abort the call: its connection closes, and `complete` is not called."""
+        """Abort the call: its connection is closed, and `complete` is not called."""
 
     def has_unwritten_data(self, call: Call) -> bool:
-        """Whether part of the call is not written yet: aborted now, it never runs."""
+        """Return whether part of the call is not written yet, so that the backend cannot have executed it."""
 
     def close_idle(self, endpoint: str) -> None:
         """Close the idle connections to an endpoint."""
 
 
 class DiscoveryClient(Protocol):
-    """The source of endpoint lists: service discovery."""
+    """A client of service discovery, the source of endpoint lists."""
 
     def watch(self) -> None:
-        """Subscribe to changes from now on."""
+        """Start to watch the endpoint list for changes."""
 
     def fetch(self) -> None:
-        """Request the whole list once."""
+        """Request the whole endpoint list once."""
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -136,12 +136,12 @@
 
     def arrive(self, left_ms: float = 1000.0) -> tuple[http1.Request, FakeClient]:
         self.count += 1
-        request, caller = http1.Request(), FakeClient()
+        request, client = http1.Request(), FakeClient()
         request.id, request.class_name, request.left_ms = f"r{self.count}", "order", left_ms
         request.method, request.target, request.read_ms = b"POST", b"/api", self.clock.ms
-        assert self.driver.accept_request(request, caller)
+        assert self.driver.accept_request(request, client)
         self.loop.turn()
-        return request, caller
+        return request, client
 
     def events(self, kind: type) -> list[api.Event]:
         return [e for _, e in self.script.seen if isinstance(e, kind)]
@@ -183,12 +183,12 @@
 
 def test_a_200_is_passed_on_at_once_and_concludes_the_request(bench: Bench) -> None:
     bench.script.on = send_each
-    _, caller = bench.arrive()
+    _, client = bench.arrive()
     bench.clock.ms += 15.0
     bench.transport.started[0].written_ms = bench.clock.ms
     bench.clock.ms += 25.0
     bench.transport.started[0].complete(Outcome.OK, ok())
-    assert caller.answers == [(200, b"tile", 0.0)]
+    assert client.answers == [(200, b"tile", 0.0)]
     bench.loop.turn()
     (event,) = bench.events(api.AttemptEnded)
     assert event == api.AttemptEnded("r1", 0, Outcome.OK, 40.0, True, None, "b1", time_to_send_ms=15.0)
@@ -205,9 +205,9 @@
             return [api.Refuse(event.request)]
         return []
     bench.script.on = on
-    _, caller = bench.arrive()
+    _, client = bench.arrive()
     assert bench.outcomes() == [(0, Outcome.NOT_SENT, False), (1, Outcome.NOT_SENT, False)]
-    assert caller.answers == [(503, b"", 0.0)]
+    assert client.answers == [(503, b"", 0.0)]
 
 
 def test_sends_that_may_not_leave_end_as_not_sent(bench: Bench) -> None:
@@ -240,11 +240,11 @@
         return [api.Fail(event.request)] if isinstance(event, api.AttemptEnded) else send_each(event)
     bench.script.on = on
     start = bench.clock.ms
-    _, caller = bench.arrive(1000.0)
+    _, client = bench.arrive(1000.0)
     bench.loop.advance(980.0)
-    assert caller.answers == []
+    assert client.answers == []
     bench.loop.advance(15.0)
-    assert caller.answers == [(502, b"", 0.0)]
+    assert client.answers == [(502, b"", 0.0)]
     assert bench.script.seen[-1][0] < start + 1000.0
     assert bench.transport.aborted == bench.transport.started
     assert bench.outcomes() == [(0, Outcome.TIMEOUT, False)]
@@ -258,21 +258,21 @@
             return [api.Send(event.request, "b2", 0.0)]
         return send_each(event)
     bench.script.on = on
-    _, caller = bench.arrive(1000.0)
+    _, client = bench.arrive(1000.0)
     held = bench.driver.requests["r1"]
     bench.clock.ms = held.deadline_at_ms - 0.5  # the timer comes a little early
     bench.driver._deadline_reached(held)
     bench.loop.turn()
     assert [call.endpoint for call in bench.transport.started] == ["b1"]
-    assert caller.answers == [(502, b"", 0.0)]
+    assert client.answers == [(502, b"", 0.0)]
     assert bench.driver.requests == {}
 
 
 def test_the_time_that_passed_since_the_request_was_read_counts(bench: Bench) -> None:
-    request, caller = http1.Request(), FakeClient()
+    request, client = http1.Request(), FakeClient()
     request.id, request.class_name, request.left_ms = "r9", "order", 1000.0
     request.read_ms = bench.clock.ms - 300.0  # it waited behind another one on its connection
-    assert bench.driver.accept_request(request, caller)
+    assert bench.driver.accept_request(request, client)
     bench.loop.turn()
     (event,) = bench.events(api.RequestArrived)
     assert isinstance(event, api.RequestArrived)
@@ -280,9 +280,9 @@
 
 
 def test_a_request_that_the_module_keeps_is_failed_at_its_time(bench: Bench) -> None:
-    _, caller = bench.arrive(500.0)
+    _, client = bench.arrive(500.0)
     bench.loop.advance(499.0)
-    assert caller.answers == [(502, b"", 0.0)]
+    assert client.answers == [(502, b"", 0.0)]
     assert bench.events(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
     assert bench.driver.requests == {}
 
@@ -291,22 +291,22 @@
     def on(event: api.Event) -> list[api.Action]:
         return [api.Send(event.id, "b1", 80.0)] if isinstance(event, api.RequestArrived) else []
     bench.script.on = on
-    _, caller = bench.arrive(1000.0)
+    _, client = bench.arrive(1000.0)
     assert bench.transport.started[0].deadline_at_ms == bench.clock.ms + 80.0
     bench.loop.advance(90.0)
     assert bench.outcomes() == [(0, Outcome.TIMEOUT, False)]
-    assert caller.answers == []
+    assert client.answers == []
 
 
 def test_after_the_client_has_gone_an_attempt_still_gets_its_end(bench: Bench) -> None:
     bench.script.on = send_each
-    request, caller = bench.arrive()
+    request, client = bench.arrive()
     bench.driver.client_disconnected(request)
     bench.loop.turn()
     assert bench.transport.aborted == []
     bench.transport.started[0].complete(Outcome.OK, ok())
     bench.loop.turn()
-    assert caller.answers == []
+    assert client.answers == []
     assert bench.outcomes() == [(0, Outcome.OK, True)]
     assert bench.driver.requests == {}
 
@@ -325,12 +325,12 @@
         return [*send_each(event), api.Send(event.id, "b2", 0.0)] if isinstance(
             event, api.RequestArrived) else []
     bench.script.on = on
-    _, caller = bench.arrive()
+    _, client = bench.arrive()
     bench.transport.started[1].complete(Outcome.OK, ok(b"second"))
     bench.loop.turn()
     bench.transport.started[0].complete(Outcome.OK, ok(b"first"))
     bench.loop.turn()
-    assert caller.answers == [(200, b"second", 0.0)]
+    assert client.answers == [(200, b"second", 0.0)]
     assert bench.outcomes() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
 
 
@@ -340,7 +340,7 @@
         return [*send_each(event), api.Send(event.id, "b2", 0.0)] if isinstance(
             event, api.RequestArrived) else []
     bench.script.on = on
-    request, caller = bench.arrive()
+    request, client = bench.arrive()
     sent, opening = bench.transport.started
     bench.transport.opening = {opening}
     if how == "gone":
@@ -354,7 +354,7 @@
     sent.complete(Outcome.OK, ok())
     bench.loop.turn()
     assert set(bench.outcomes()) == {(0, Outcome.OK, True), (1, Outcome.NOT_SENT, True)}
-    assert len(caller.answers) == (how != "gone")
+    assert len(client.answers) == (how != "gone")
     assert bench.driver.requests == {}
 
 
@@ -399,10 +399,10 @@
             raise ZeroDivisionError
         return send_each(event)
     bench.script.on = on
-    _, caller = bench.arrive()
+    _, client = bench.arrive()
     bench.transport.started[0].complete(Outcome.RESET, None)
     bench.loop.turn()
-    assert caller.answers == [(502, b"", 0.0)]
+    assert client.answers == [(502, b"", 0.0)]
     assert bench.driver.requests == {}
 
 
@@ -412,10 +412,10 @@
             raise ZeroDivisionError
         return send_each(event)
     bench.script.on = on
-    _, caller = bench.arrive()
+    _, client = bench.arrive()
     bench.transport.started[0].complete(Outcome.OK, ok())  # answered before the module is told
     bench.loop.turn()
-    assert caller.answers == [(200, b"tile", 0.0)]
+    assert client.answers == [(200, b"tile", 0.0)]
     assert bench.events(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
     assert bench.driver.requests == {}
 
@@ -437,9 +437,9 @@
 
 
 def test_word_from_discovery_goes_before_what_waits(bench: Bench) -> None:
-    request, caller = http1.Request(), FakeClient()
+    request, client = http1.Request(), FakeClient()
     request.id, request.class_name, request.left_ms, request.read_ms = "r1", "order", 1000.0, bench.clock.ms
-    bench.driver.accept_request(request, caller)
+    bench.driver.accept_request(request, client)
     bench.driver.handle_discovery_event(api.EndpointsListed(api.ListKind.CHANGES))
     bench.loop.turn()
     assert [type(e) for _, e in bench.script.seen] == [api.EndpointsListed, api.RequestArrived]
@@ -458,11 +458,11 @@
 
 
 def test_reports_follow_the_order_of_the_settings_and_either_name(bench: Bench) -> None:
-    assert bench.driver._load_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
-    assert bench.driver._load_report(b"inflight=1, queue=3,in_flight=4") == (3.0, 4.0)
-    assert bench.driver._load_report(b"pending=2") is None
-    assert bench.driver._load_report(b"pending=x,busy_reqs=1") is None
-    assert bench.driver._load_report(None) is None
+    assert bench.driver._parse_load_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
+    assert bench.driver._parse_load_report(b"inflight=1, queue=3,in_flight=4") == (3.0, 4.0)
+    assert bench.driver._parse_load_report(b"pending=2") is None
+    assert bench.driver._parse_load_report(b"pending=x,busy_reqs=1") is None
+    assert bench.driver._parse_load_report(None) is None
 
 
 def test_probes_end_once_with_what_they_found(bench: Bench) -> None:
@@ -507,8 +507,8 @@
     bench.script.on = on
     callers, left = [], set()
     for _ in range(400):
-        request, caller = bench.arrive(choice.uniform(0.0, 300.0))
-        callers.append((request.id, caller))
+        request, client = bench.arrive(choice.uniform(0.0, 300.0))
+        callers.append((request.id, client))
         for call in choice.sample(bench.transport.started[-5:], k=min(2, len(bench.transport.started))):
             call.complete(
                 choice.choice(
@@ -517,7 +517,7 @@
                 ok(),
             )
         if choice.random() < 0.1:
-            if not caller.answers:
+            if not client.answers:
                 left.add(request.id)
             bench.driver.client_disconnected(request)
         bench.loop.turn()
@@ -525,5 +525,5 @@
     bench.loop.advance(1000.0)
     assert bench.driver.requests == {}
     assert bench.driver.open_request_count == 0
-    for name, caller in callers:
-        assert len(caller.answers) == (0 if name in left else 1)
+    for name, client in callers:
+        assert len(client.answers) == (0 if name in left else 1)
