--- a/honeywharf/net/calls.py
+++ b/honeywharf/net/calls.py
@@ -30,8 +30,8 @@
 class Call:
     """A request to a backend and its response.
 
-    The connection pool calls `complete` once, unless the call is aborted. `head` lacks the headers that depend
-    on the time or on the connection; they are added when the request is written.
+    The connection pool calls `complete` once, unless the call is aborted. `head` lacks the headers that
+    depend on the time or on the connection; they are added when the request is written.
     """
 
     __slots__ = (
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -1,4 +1,7 @@
-"""The driver without sockets: a scripted module, and a transport and a loop that note what they are asked."""
+"""Tests of the driver without sockets.
+
+The balancer is scripted, and the clock, the event loop, the connection pool and the clients are fakes.
+"""
 
 from __future__ import annotations
 
@@ -26,60 +29,60 @@
 
 class FakeClock(Clock):
     def __init__(self) -> None:
-        self.ms = 1000.0
+        self.now_ms = 1000.0
 
     def now(self) -> float:
-        return self.ms
+        return self.now_ms
 
 
 class FakeTimer:
-    def __init__(self, at: float, call: Callable[[], object]) -> None:
-        self.at, self.call, self.dead = at, call, False
+    def __init__(self, at_ms: float, callback: Callable[[], object]) -> None:
+        self.at_ms, self.callback, self.done = at_ms, callback, False
 
     def cancel(self) -> None:
-        self.dead = True
+        self.done = True
 
 
 class FakeLoop:
     def __init__(self, clock: FakeClock) -> None:
         self.clock = clock
-        self.soon: list[Callable[[], object]] = []
+        self.callbacks: list[Callable[[], object]] = []
         self.timers: list[FakeTimer] = []
 
     def call_soon(self, callback: Callable[..., object], *args: object) -> object:
-        self.soon.append(lambda: callback(*args))
+        self.callbacks.append(lambda: callback(*args))
         return None
 
     def call_later(self, delay: float, callback: Callable[..., object], *args: object) -> FakeTimer:
-        self.timers.append(FakeTimer(self.clock.ms + delay * 1000.0, lambda: callback(*args)))
+        self.timers.append(FakeTimer(self.clock.now_ms + delay * 1000.0, lambda: callback(*args)))
         return self.timers[-1]
 
-    def turn(self) -> None:
-        while self.soon:
-            self.soon.pop(0)()
+    def run_callbacks(self) -> None:
+        while self.callbacks:
+            self.callbacks.pop(0)()
 
-    def advance(self, ms: float) -> None:
-        """Pass time; run what falls due in order."""
-        end = self.clock.ms + ms
-        while due := [t for t in self.timers if not t.dead and t.at <= end]:
-            first = min(due, key=lambda t: t.at)
-            first.dead = True
-            self.clock.ms = max(self.clock.ms, first.at)
-            first.call()
-            self.turn()
-        self.clock.ms = end
+    def advance(self, duration_ms: float) -> None:
+        """Advance the clock, and run the timers that fall due in order."""
+        end_ms = self.clock.now_ms + duration_ms
+        while due := [t for t in self.timers if not t.done and t.at_ms <= end_ms]:
+            first = min(due, key=lambda t: t.at_ms)
+            first.done = True
+            self.clock.now_ms = max(self.clock.now_ms, first.at_ms)
+            first.callback()
+            self.run_callbacks()
+        self.clock.now_ms = end_ms
 
 
-class FakeTransport:
+class FakePool:
     def __init__(self) -> None:
-        self.names = {"b1", "b2"}
+        self.endpoints = {"b1", "b2"}
         self.started: list[Call] = []
         self.aborted: list[Call] = []
-        self.closed: list[str] = []
-        self.opening: set[Call] = set()
+        self.closed_endpoints: list[str] = []
+        self.unwritten: set[Call] = set()
 
     def has_endpoint(self, endpoint: str) -> bool:
-        return endpoint in self.names
+        return endpoint in self.endpoints
 
     def start(self, call: Call) -> None:
         self.started.append(call)
@@ -88,28 +91,28 @@
         self.aborted.append(call)
 
     def has_unwritten_data(self, call: Call) -> bool:
-        return call in self.opening
+        return call in self.unwritten
 
     def close_idle(self, endpoint: str) -> None:
-        self.closed.append(endpoint)
+        self.closed_endpoints.append(endpoint)
 
 
-class Script:
-    """Stands in for the module: each event is noted and answered by `on`."""
+class ScriptedBalancer:
+    """A balancer that records each event and returns the actions that `react` returns for it."""
 
     def __init__(self) -> None:
-        self.seen: list[tuple[float, api.Event]] = []
-        self.on: Callable[[api.Event], list[api.Action]] = lambda event: []
-        self.inside = False
+        self.received: list[tuple[float, api.Event]] = []
+        self.react: Callable[[api.Event], list[api.Action]] = lambda event: []
+        self.handling = False
 
     def handle(self, now_ms: float, event: api.Event) -> list[api.Action]:
-        assert not self.inside
-        self.inside = True
+        assert not self.handling
+        self.handling = True
         try:
-            self.seen.append((now_ms, event))
-            return self.on(event)
+            self.received.append((now_ms, event))
+            return self.react(event)
         finally:
-            self.inside = False
+            self.handling = False
 
 
 class FakeClient:
@@ -125,405 +128,409 @@
         return False
 
 
-class Bench:
+class DriverHarness:
     def __init__(self) -> None:
         self.clock = FakeClock()
-        self.loop, self.transport, self.script = FakeLoop(self.clock), FakeTransport(), Script()
+        self.loop, self.pool, self.balancer = FakeLoop(self.clock), FakePool(), ScriptedBalancer()
         self.driver = Driver(
-            SETTINGS, self.script, self.transport, self.loop, self.clock,  # type: ignore[arg-type]
+            SETTINGS, self.balancer, self.pool, self.loop, self.clock,  # type: ignore[arg-type]
             ("pending", "busy_reqs"))
-        self.count = 0
+        self.request_count = 0
 
     def arrive(self, left_ms: float = 1000.0) -> tuple[http1.Request, FakeClient]:
-        self.count += 1
+        self.request_count += 1
         request, client = http1.Request(), FakeClient()
-        request.id, request.class_name, request.left_ms = f"r{self.count}", "order", left_ms
-        request.method, request.target, request.read_ms = b"POST", b"/api", self.clock.ms
+        request.id, request.class_name, request.left_ms = f"r{self.request_count}", "order", left_ms
+        request.method, request.target, request.read_ms = b"POST", b"/api", self.clock.now_ms
         assert self.driver.accept_request(request, client)
-        self.loop.turn()
+        self.loop.run_callbacks()
         return request, client
 
     def events(self, kind: type) -> list[api.Event]:
-        return [e for _, e in self.script.seen if isinstance(e, kind)]
+        return [e for _, e in self.balancer.received if isinstance(e, kind)]
 
     def outcomes(self) -> list[tuple[int, api.Outcome, bool]]:
-        return [(e.attempt, e.outcome, e.request_finished) for _, e in self.script.seen
+        return [(e.attempt, e.outcome, e.request_finished) for _, e in self.balancer.received
                 if isinstance(e, api.AttemptEnded)]
 
 
-def on_timer(*actions: api.Action) -> Callable[[api.Event], list[api.Action]]:
+def act_on_timer(*actions: api.Action) -> Callable[[api.Event], list[api.Action]]:
     return lambda event: list(actions) if isinstance(event, api.TimerFired) else []
 
 
-def send_each(event: api.Event) -> list[api.Action]:
+def send_each_request(event: api.Event) -> list[api.Action]:
     return [api.Send(event.id, "b1", 0.0)] if isinstance(event, api.RequestArrived) else []
 
 
-def ok(body: bytes = b"tile") -> http1.Response:
+def ok_response(body: bytes = b"tile") -> http1.Response:
     response = http1.Response()
     response.status, response.body = 200, body
     return response
 
 
 @pytest.fixture
-def bench() -> Bench:
-    return Bench()
+def harness() -> DriverHarness:
+    return DriverHarness()
 
 
 def test_the_clock_is_unix_time_and_follows_the_monotonic_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    wall, mono = [1_700_000_000.0], [50.0]
-    monkeypatch.setattr("time.time", lambda: wall[0])
-    monkeypatch.setattr("time.monotonic", lambda: mono[0])
+    wall_time_s, monotonic_time_s = [1_700_000_000.0], [50.0]
+    monkeypatch.setattr("time.time", lambda: wall_time_s[0])
+    monkeypatch.setattr("time.monotonic", lambda: monotonic_time_s[0])
     clock = Clock()
     assert clock.now() == pytest.approx(1_700_000_000_000.0)
-    wall[0] -= 3600.0  # somebody sets the machine's clock back
-    mono[0] += 0.5
+    wall_time_s[0] -= 3600.0  # the system clock is set back
+    monotonic_time_s[0] += 0.5
     assert clock.now() == pytest.approx(1_700_000_000_500.0)
 
 
-def test_a_200_is_passed_on_at_once_and_concludes_the_request(bench: Bench) -> None:
-    bench.script.on = send_each
-    _, client = bench.arrive()
-    bench.clock.ms += 15.0
-    bench.transport.started[0].written_ms = bench.clock.ms
-    bench.clock.ms += 25.0
-    bench.transport.started[0].complete(Outcome.OK, ok())
+def test_a_200_answers_the_client_at_once_and_finishes_the_request(harness: DriverHarness) -> None:
+    harness.balancer.react = send_each_request
+    _, client = harness.arrive()
+    harness.clock.now_ms += 15.0
+    harness.pool.started[0].written_ms = harness.clock.now_ms
+    harness.clock.now_ms += 25.0
+    harness.pool.started[0].complete(Outcome.OK, ok_response())
     assert client.answers == [(200, b"tile", 0.0)]
-    bench.loop.turn()
-    (event,) = bench.events(api.AttemptEnded)
+    harness.loop.run_callbacks()
+    (event,) = harness.events(api.AttemptEnded)
     assert event == api.AttemptEnded("r1", 0, Outcome.OK, 40.0, True, None, "b1", time_to_send_ms=15.0)
-    assert bench.driver.requests == {}
-    assert bench.driver.open_request_count == 0
+    assert harness.driver.requests == {}
+    assert harness.driver.open_request_count == 0
 
 
-def test_events_come_one_at_a_time_and_actions_do_not_re_enter(bench: Bench) -> None:
-    bench.transport.names = set()  # every send comes back as NOT_SENT, caused by an action
-    def on(event: api.Event) -> list[api.Action]:
+def test_events_are_processed_one_at_a_time_without_reentrancy(harness: DriverHarness) -> None:
+    harness.pool.endpoints = set()  # so each Send action causes an AttemptEnded event with NOT_SENT
+    def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.RequestArrived):
             return [api.Send(event.id, "b1", 0.0), api.Send(event.id, "b2", 0.0)]
         if isinstance(event, api.AttemptEnded) and event.attempt == 1:
             return [api.Refuse(event.request)]
         return []
-    bench.script.on = on
-    _, client = bench.arrive()
-    assert bench.outcomes() == [(0, Outcome.NOT_SENT, False), (1, Outcome.NOT_SENT, False)]
+    harness.balancer.react = react
+    _, client = harness.arrive()
+    assert harness.outcomes() == [(0, Outcome.NOT_SENT, False), (1, Outcome.NOT_SENT, False)]
     assert client.answers == [(503, b"", 0.0)]
 
 
-def test_sends_that_may_not_leave_end_as_not_sent(bench: Bench) -> None:
-    bench.script.on = send_each
-    request, _ = bench.arrive()
-    bench.script.on = on_timer(api.Send("r1", "b2", 0.0))
-    for _ in range(3):  # the third is past the most attempts, which are three
-        bench.driver._timer_fired(0.0, "t")
-        bench.loop.turn()
-    assert len(bench.transport.started) == 3
-    assert bench.outcomes() == [(3, Outcome.NOT_SENT, False)]
-    bench.driver.client_disconnected(request)
-    bench.loop.turn()
-    bench.driver._timer_fired(0.0, "t")  # the request is over
-    bench.loop.turn()
-    assert len(bench.transport.started) == 3
-    assert bench.outcomes()[-1] == (4, Outcome.NOT_SENT, True)
-
-
-def test_a_send_for_a_request_that_is_not_in_the_table_is_told_and_not_sent(bench: Bench) -> None:
-    bench.script.on = on_timer(api.Send("nobody", "b1", 0.0))
-    bench.driver._timer_fired(0.0, "t")
-    bench.loop.turn()
-    assert bench.transport.started == []
-    assert bench.outcomes() == [(0, Outcome.NOT_SENT, True)]
-
-
-def test_a_silent_backend_times_out_and_the_answer_is_out_before_the_client_gives_up(bench: Bench) -> None:
-    def on(event: api.Event) -> list[api.Action]:
-        return [api.Fail(event.request)] if isinstance(event, api.AttemptEnded) else send_each(event)
-    bench.script.on = on
-    start = bench.clock.ms
-    _, client = bench.arrive(1000.0)
-    bench.loop.advance(980.0)
+def test_a_send_past_the_attempt_limit_or_for_a_finished_request_is_not_sent(harness: DriverHarness) -> None:
+    harness.balancer.react = send_each_request
+    request, _ = harness.arrive()
+    harness.balancer.react = act_on_timer(api.Send("r1", "b2", 0.0))
+    for _ in range(3):  # the third of these is the fourth attempt, beyond the limit of three
+        harness.driver._timer_fired(0.0, "t")
+        harness.loop.run_callbacks()
+    assert len(harness.pool.started) == 3
+    assert harness.outcomes() == [(3, Outcome.NOT_SENT, False)]
+    harness.driver.client_disconnected(request)
+    harness.loop.run_callbacks()
+    harness.driver._timer_fired(0.0, "t")  # the request is finished
+    harness.loop.run_callbacks()
+    assert len(harness.pool.started) == 3
+    assert harness.outcomes()[-1] == (4, Outcome.NOT_SENT, True)
+
+
+def test_a_send_for_an_unknown_request_is_reported_as_not_sent(harness: DriverHarness) -> None:
+    harness.balancer.react = act_on_timer(api.Send("nobody", "b1", 0.0))
+    harness.driver._timer_fired(0.0, "t")
+    harness.loop.run_callbacks()
+    assert harness.pool.started == []
+    assert harness.outcomes() == [(0, Outcome.NOT_SENT, True)]
+
+
+def test_an_unresponsive_backend_times_out_before_the_client_gives_up(harness: DriverHarness) -> None:
+    def react(event: api.Event) -> list[api.Action]:
+        return [api.Fail(event.request)] if isinstance(event, api.AttemptEnded) else send_each_request(event)
+    harness.balancer.react = react
+    start_ms = harness.clock.now_ms
+    _, client = harness.arrive(1000.0)
+    harness.loop.advance(980.0)
     assert client.answers == []
-    bench.loop.advance(15.0)
+    harness.loop.advance(15.0)
     assert client.answers == [(502, b"", 0.0)]
-    assert bench.script.seen[-1][0] < start + 1000.0
-    assert bench.transport.aborted == bench.transport.started
-    assert bench.outcomes() == [(0, Outcome.TIMEOUT, False)]
-    assert bench.driver.requests == {}
+    assert harness.balancer.received[-1][0] < start_ms + 1000.0
+    assert harness.pool.aborted == harness.pool.started
+    assert harness.outcomes() == [(0, Outcome.TIMEOUT, False)]
+    assert harness.driver.requests == {}
 
 
-def test_no_attempt_starts_once_the_requests_timer_has_come(bench: Bench) -> None:
-    """Guards against an attempt that nothing ends: it would run for nobody and never leave the table."""
-    def on(event: api.Event) -> list[api.Action]:
+def test_no_attempt_starts_once_the_deadline_timer_has_fired(harness: DriverHarness) -> None:
+    """No timer would end such an attempt, so its request would never be removed from the table."""
+    def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded) and event.outcome is Outcome.TIMEOUT:
             return [api.Send(event.request, "b2", 0.0)]
-        return send_each(event)
-    bench.script.on = on
-    _, client = bench.arrive(1000.0)
-    held = bench.driver.requests["r1"]
-    bench.clock.ms = held.deadline_at_ms - 0.5  # the timer comes a little early
-    bench.driver._deadline_reached(held)
-    bench.loop.turn()
-    assert [call.endpoint for call in bench.transport.started] == ["b1"]
+        return send_each_request(event)
+    harness.balancer.react = react
+    _, client = harness.arrive(1000.0)
+    pending = harness.driver.requests["r1"]
+    harness.clock.now_ms = pending.deadline_at_ms - 0.5  # the timer fires a little early
+    harness.driver._deadline_reached(pending)
+    harness.loop.run_callbacks()
+    assert [call.endpoint for call in harness.pool.started] == ["b1"]
     assert client.answers == [(502, b"", 0.0)]
-    assert bench.driver.requests == {}
+    assert harness.driver.requests == {}
 
 
-def test_the_time_that_passed_since_the_request_was_read_counts(bench: Bench) -> None:
+def test_time_since_the_request_was_read_reduces_its_remaining_time(harness: DriverHarness) -> None:
     request, client = http1.Request(), FakeClient()
     request.id, request.class_name, request.left_ms = "r9", "order", 1000.0
-    request.read_ms = bench.clock.ms - 300.0  # it waited behind another one on its connection
-    assert bench.driver.accept_request(request, client)
-    bench.loop.turn()
-    (event,) = bench.events(api.RequestArrived)
+    request.read_ms = harness.clock.now_ms - 300.0  # it was queued behind another request
+    assert harness.driver.accept_request(request, client)
+    harness.loop.run_callbacks()
+    (event,) = harness.events(api.RequestArrived)
     assert isinstance(event, api.RequestArrived)
     assert event.remaining_ms == pytest.approx(700.0 - ANSWER_MARGIN_MS)
 
 
-def test_a_request_that_the_module_keeps_is_failed_at_its_time(bench: Bench) -> None:
-    _, client = bench.arrive(500.0)
-    bench.loop.advance(499.0)
+def test_a_request_that_the_balancer_keeps_fails_at_its_deadline(harness: DriverHarness) -> None:
+    _, client = harness.arrive(500.0)
+    harness.loop.advance(499.0)
     assert client.answers == [(502, b"", 0.0)]
-    assert bench.events(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
-    assert bench.driver.requests == {}
+    assert harness.events(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+    assert harness.driver.requests == {}
 
 
-def test_an_attempt_of_shorter_time_ends_by_itself(bench: Bench) -> None:
-    def on(event: api.Event) -> list[api.Action]:
+def test_an_attempt_with_a_shorter_timeout_ends_before_the_deadline(harness: DriverHarness) -> None:
+    def react(event: api.Event) -> list[api.Action]:
         return [api.Send(event.id, "b1", 80.0)] if isinstance(event, api.RequestArrived) else []
-    bench.script.on = on
-    _, client = bench.arrive(1000.0)
-    assert bench.transport.started[0].deadline_at_ms == bench.clock.ms + 80.0
-    bench.loop.advance(90.0)
-    assert bench.outcomes() == [(0, Outcome.TIMEOUT, False)]
+    harness.balancer.react = react
+    _, client = harness.arrive(1000.0)
+    assert harness.pool.started[0].deadline_at_ms == harness.clock.now_ms + 80.0
+    harness.loop.advance(90.0)
+    assert harness.outcomes() == [(0, Outcome.TIMEOUT, False)]
     assert client.answers == []
 
 
-def test_after_the_client_has_gone_an_attempt_still_gets_its_end(bench: Bench) -> None:
-    bench.script.on = send_each
-    request, client = bench.arrive()
-    bench.driver.client_disconnected(request)
-    bench.loop.turn()
-    assert bench.transport.aborted == []
-    bench.transport.started[0].complete(Outcome.OK, ok())
-    bench.loop.turn()
+def test_an_attempt_continues_after_its_client_disconnects(harness: DriverHarness) -> None:
+    harness.balancer.react = send_each_request
+    request, client = harness.arrive()
+    harness.driver.client_disconnected(request)
+    harness.loop.run_callbacks()
+    assert harness.pool.aborted == []
+    harness.pool.started[0].complete(Outcome.OK, ok_response())
+    harness.loop.run_callbacks()
     assert client.answers == []
-    assert bench.outcomes() == [(0, Outcome.OK, True)]
-    assert bench.driver.requests == {}
+    assert harness.outcomes() == [(0, Outcome.OK, True)]
+    assert harness.driver.requests == {}
 
 
-def test_a_silent_attempt_of_a_client_that_has_gone_ends_at_its_time(bench: Bench) -> None:
-    bench.script.on = send_each
-    request, _ = bench.arrive(1000.0)
-    bench.driver.client_disconnected(request)
-    bench.loop.advance(1000.0)
-    assert bench.outcomes() == [(0, Outcome.TIMEOUT, True)]
-    assert bench.driver.requests == {}
+def test_an_attempt_of_a_disconnected_client_still_times_out(harness: DriverHarness) -> None:
+    harness.balancer.react = send_each_request
+    request, _ = harness.arrive(1000.0)
+    harness.driver.client_disconnected(request)
+    harness.loop.advance(1000.0)
+    assert harness.outcomes() == [(0, Outcome.TIMEOUT, True)]
+    assert harness.driver.requests == {}
 
 
-def test_a_second_copy_changes_nothing_for_the_client(bench: Bench) -> None:
-    def on(event: api.Event) -> list[api.Action]:
-        return [*send_each(event), api.Send(event.id, "b2", 0.0)] if isinstance(
+def test_a_hedged_request_gives_the_client_one_answer(harness: DriverHarness) -> None:
+    def react(event: api.Event) -> list[api.Action]:
+        return [*send_each_request(event), api.Send(event.id, "b2", 0.0)] if isinstance(
             event, api.RequestArrived) else []
-    bench.script.on = on
-    _, client = bench.arrive()
-    bench.transport.started[1].complete(Outcome.OK, ok(b"second"))
-    bench.loop.turn()
-    bench.transport.started[0].complete(Outcome.OK, ok(b"first"))
-    bench.loop.turn()
+    harness.balancer.react = react
+    _, client = harness.arrive()
+    harness.pool.started[1].complete(Outcome.OK, ok_response(b"second"))
+    harness.loop.run_callbacks()
+    harness.pool.started[0].complete(Outcome.OK, ok_response(b"first"))
+    harness.loop.run_callbacks()
     assert client.answers == [(200, b"second", 0.0)]
-    assert bench.outcomes() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
+    assert harness.outcomes() == [(1, Outcome.OK, True), (0, Outcome.OK, True)]
 
 
-@pytest.mark.parametrize("how", ["gone", "answered", "cut off"])
-def test_what_has_not_left_when_a_request_is_over_never_leaves(bench: Bench, how: str) -> None:
-    def on(event: api.Event) -> list[api.Action]:
-        return [*send_each(event), api.Send(event.id, "b2", 0.0)] if isinstance(
+@pytest.mark.parametrize("ending", ["disconnected", "answered", "shutdown"])
+def test_unwritten_attempts_are_aborted_when_their_request_finishes(
+    harness: DriverHarness, ending: str,
+) -> None:
+    def react(event: api.Event) -> list[api.Action]:
+        return [*send_each_request(event), api.Send(event.id, "b2", 0.0)] if isinstance(
             event, api.RequestArrived) else []
-    bench.script.on = on
-    request, client = bench.arrive()
-    sent, opening = bench.transport.started
-    bench.transport.opening = {opening}
-    if how == "gone":
-        bench.driver.client_disconnected(request)
-    elif how == "answered":
-        sent.complete(Outcome.OK, ok())
+    harness.balancer.react = react
+    request, client = harness.arrive()
+    sent, unwritten = harness.pool.started
+    harness.pool.unwritten = {unwritten}
+    if ending == "disconnected":
+        harness.driver.client_disconnected(request)
+    elif ending == "answered":
+        sent.complete(Outcome.OK, ok_response())
     else:
-        bench.driver.fail_open_requests()
-    bench.loop.turn()
-    assert bench.transport.aborted == [opening]
-    sent.complete(Outcome.OK, ok())
-    bench.loop.turn()
-    assert set(bench.outcomes()) == {(0, Outcome.OK, True), (1, Outcome.NOT_SENT, True)}
-    assert len(client.answers) == (how != "gone")
-    assert bench.driver.requests == {}
-
-
-def test_cancel_closes_and_ends_the_attempt_once(bench: Bench) -> None:
-    bench.script.on = send_each
-    bench.arrive()
-    bench.script.on = on_timer(api.Cancel("r1", 0), api.Cancel("r1", 0), api.Cancel("r1", 7))
-    bench.driver._timer_fired(0.0, "t")
-    bench.loop.turn()
-    assert bench.transport.aborted == bench.transport.started
-    assert bench.outcomes() == [(0, Outcome.CANCELLED, False)]
-
-
-def test_a_refusal_says_when_to_come_back_and_a_failure_is_never_worded_as_one(bench: Bench) -> None:
-    bench.script.on = lambda event: [api.Refuse("r1", 250.0)]
-    _, refused = bench.arrive()
-    bench.script.on = lambda event: [api.Fail("r2"), api.Refuse("r2")]
-    _, failed = bench.arrive()
+        harness.driver.fail_open_requests()
+    harness.loop.run_callbacks()
+    assert harness.pool.aborted == [unwritten]
+    sent.complete(Outcome.OK, ok_response())
+    harness.loop.run_callbacks()
+    assert set(harness.outcomes()) == {(0, Outcome.OK, True), (1, Outcome.NOT_SENT, True)}
+    assert len(client.answers) == (ending != "disconnected")
+    assert harness.driver.requests == {}
+
+
+def test_cancel_aborts_the_attempt_and_reports_it_once(harness: DriverHarness) -> None:
+    harness.balancer.react = send_each_request
+    harness.arrive()
+    harness.balancer.react = act_on_timer(api.Cancel("r1", 0), api.Cancel("r1", 0), api.Cancel("r1", 7))
+    harness.driver._timer_fired(0.0, "t")
+    harness.loop.run_callbacks()
+    assert harness.pool.aborted == harness.pool.started
+    assert harness.outcomes() == [(0, Outcome.CANCELLED, False)]
+
+
+def test_a_refusal_carries_a_retry_delay_and_a_failure_stays_a_502(harness: DriverHarness) -> None:
+    harness.balancer.react = lambda event: [api.Refuse("r1", 250.0)]
+    _, refused = harness.arrive()
+    harness.balancer.react = lambda event: [api.Fail("r2"), api.Refuse("r2")]
+    _, failed = harness.arrive()
     assert refused.answers == [(503, b"", 250.0)]
     assert failed.answers == [(502, b"", 0.0)]
 
 
-def test_a_module_that_raises_costs_one_request_only(
-    bench: Bench, capsys: pytest.CaptureFixture[str],
+def test_an_exception_in_the_balancer_fails_only_its_own_request(
+    harness: DriverHarness, capsys: pytest.CaptureFixture[str],
 ) -> None:
-    def on(event: api.Event) -> list[api.Action]:
+    def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.RequestArrived) and event.id == "r1":
             raise KeyError("broken")
-        return send_each(event)
-    bench.script.on = on
-    _, first = bench.arrive()
-    _, second = bench.arrive()
+        return send_each_request(event)
+    harness.balancer.react = react
+    _, first = harness.arrive()
+    _, second = harness.arrive()
     assert first.answers == [(502, b"", 0.0)]
-    bench.transport.started[0].complete(Outcome.OK, ok())
+    harness.pool.started[0].complete(Outcome.OK, ok_response())
     assert second.answers == [(200, b"tile", 0.0)]
     assert "broken" in capsys.readouterr().err
 
 
-def test_a_module_that_raises_on_an_outcome_fails_that_request(bench: Bench) -> None:
-    def on(event: api.Event) -> list[api.Action]:
+def test_an_exception_on_an_outcome_fails_the_request(harness: DriverHarness) -> None:
+    def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded):
             raise ZeroDivisionError
-        return send_each(event)
-    bench.script.on = on
-    _, client = bench.arrive()
-    bench.transport.started[0].complete(Outcome.RESET, None)
-    bench.loop.turn()
+        return send_each_request(event)
+    harness.balancer.react = react
+    _, client = harness.arrive()
+    harness.pool.started[0].complete(Outcome.RESET, None)
+    harness.loop.run_callbacks()
     assert client.answers == [(502, b"", 0.0)]
-    assert bench.driver.requests == {}
+    assert harness.driver.requests == {}
 
 
-def test_a_request_that_the_module_broke_on_is_taken_out_of_it(bench: Bench) -> None:
-    def on(event: api.Event) -> list[api.Action]:
+def test_a_request_is_abandoned_in_the_balancer_after_an_exception(harness: DriverHarness) -> None:
+    def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded):
             raise ZeroDivisionError
-        return send_each(event)
-    bench.script.on = on
-    _, client = bench.arrive()
-    bench.transport.started[0].complete(Outcome.OK, ok())  # answered before the module is told
-    bench.loop.turn()
+        return send_each_request(event)
+    harness.balancer.react = react
+    _, client = harness.arrive()
+    # The client is answered before the balancer gets the event.
+    harness.pool.started[0].complete(Outcome.OK, ok_response())
+    harness.loop.run_callbacks()
     assert client.answers == [(200, b"tile", 0.0)]
-    assert bench.events(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
-    assert bench.driver.requests == {}
+    assert harness.events(api.RequestAbandoned) == [api.RequestAbandoned("r1")]
+    assert harness.driver.requests == {}
 
 
-def test_nothing_of_a_request_that_is_over_refers_to_it(bench: Bench) -> None:
-    """Memory comes back at once, and not when the collector comes."""
-    bench.script.on = send_each
+def test_a_finished_request_leaves_no_reference_cycle(harness: DriverHarness) -> None:
+    """Its memory is freed at once, and not only when the garbage collector runs."""
+    harness.balancer.react = send_each_request
     gc.disable()
     try:
-        request, _ = bench.arrive()
-        held = weakref.ref(bench.driver.requests[request.id].attempts[0])
-        bench.transport.started.pop().complete(Outcome.OK, ok())
-        bench.loop.turn()
-        bench.loop.timers.clear()
-        assert bench.driver.requests == {}
-        assert held() is None
+        request, _ = harness.arrive()
+        attempt_ref = weakref.ref(harness.driver.requests[request.id].attempts[0])
+        harness.pool.started.pop().complete(Outcome.OK, ok_response())
+        harness.loop.run_callbacks()
+        harness.loop.timers.clear()
+        assert harness.driver.requests == {}
+        assert attempt_ref() is None
     finally:
         gc.enable()
 
 
-def test_word_from_discovery_goes_before_what_waits(bench: Bench) -> None:
+def test_discovery_events_are_processed_before_queued_events(harness: DriverHarness) -> None:
     request, client = http1.Request(), FakeClient()
-    request.id, request.class_name, request.left_ms, request.read_ms = "r1", "order", 1000.0, bench.clock.ms
-    bench.driver.accept_request(request, client)
-    bench.driver.handle_discovery_event(api.EndpointsListed(api.ListKind.CHANGES))
-    bench.loop.turn()
-    assert [type(e) for _, e in bench.script.seen] == [api.EndpointsListed, api.RequestArrived]
-
-
-def test_timers_never_come_early(bench: Bench) -> None:
-    bench.driver._execute(api.SetTimer(bench.clock.ms + 50.0, "t"))
-    (timer,) = bench.loop.timers
-    bench.clock.ms += 49.5
-    timer.dead = True
-    timer.call()
-    bench.loop.turn()
-    assert bench.events(api.TimerFired) == []
-    bench.loop.advance(1.0)
-    assert bench.events(api.TimerFired) == [api.TimerFired("t")]
-
-
-def test_reports_follow_the_order_of_the_settings_and_either_name(bench: Bench) -> None:
-    assert bench.driver._parse_load_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
-    assert bench.driver._parse_load_report(b"inflight=1, queue=3,in_flight=4") == (3.0, 4.0)
-    assert bench.driver._parse_load_report(b"pending=2") is None
-    assert bench.driver._parse_load_report(b"pending=x,busy_reqs=1") is None
-    assert bench.driver._parse_load_report(None) is None
-
-
-def test_probes_end_once_with_what_they_found(bench: Bench) -> None:
-    bench.script.on = on_timer(api.Probe("b1"), api.Probe("b2"), api.Probe("b9"))
-    bench.driver._timer_fired(0.0, "t")
-    bench.loop.turn()
-    response = ok(b"pending=1,busy_reqs=2")
-    bench.transport.started[0].complete(Outcome.OK, response)
-    bench.loop.advance(1000.0)
+    request.id, request.class_name, request.left_ms, request.read_ms = (
+        "r1", "order", 1000.0, harness.clock.now_ms)
+    harness.driver.accept_request(request, client)
+    harness.driver.handle_discovery_event(api.EndpointsListed(api.ListKind.CHANGES))
+    harness.loop.run_callbacks()
+    assert [type(e) for _, e in harness.balancer.received] == [api.EndpointsListed, api.RequestArrived]
+
+
+def test_timers_never_fire_early(harness: DriverHarness) -> None:
+    harness.driver._execute(api.SetTimer(harness.clock.now_ms + 50.0, "t"))
+    (timer,) = harness.loop.timers
+    harness.clock.now_ms += 49.5
+    timer.done = True
+    timer.callback()
+    harness.loop.run_callbacks()
+    assert harness.events(api.TimerFired) == []
+    harness.loop.advance(1.0)
+    assert harness.events(api.TimerFired) == [api.TimerFired("t")]
+
+
+def test_load_reports_follow_the_settings_order_under_either_name(harness: DriverHarness) -> None:
+    assert harness.driver._parse_load_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
+    assert harness.driver._parse_load_report(b"inflight=1, queue=3,in_flight=4") == (3.0, 4.0)
+    assert harness.driver._parse_load_report(b"pending=2") is None
+    assert harness.driver._parse_load_report(b"pending=x,busy_reqs=1") is None
+    assert harness.driver._parse_load_report(None) is None
+
+
+def test_each_probe_ends_once_with_its_outcome_and_load_report(harness: DriverHarness) -> None:
+    harness.balancer.react = act_on_timer(api.Probe("b1"), api.Probe("b2"), api.Probe("b9"))
+    harness.driver._timer_fired(0.0, "t")
+    harness.loop.run_callbacks()
+    response = ok_response(b"pending=1,busy_reqs=2")
+    harness.pool.started[0].complete(Outcome.OK, response)
+    harness.loop.advance(1000.0)
     found = [
         (e.endpoint, e.outcome, e.load_report)
-        for _, e in bench.script.seen if isinstance(e, api.ProbeEnded)]
+        for _, e in harness.balancer.received if isinstance(e, api.ProbeEnded)]
     assert sorted(found, key=lambda x: x[0]) == [
         ("b1", Outcome.OK, (1.0, 2.0)), ("b2", Outcome.TIMEOUT, None), ("b9", Outcome.NOT_SENT, None)]
 
 
-def test_an_id_in_the_table_is_not_taken_twice(bench: Bench) -> None:
-    request, _ = bench.arrive()
-    assert not bench.driver.accept_request(request, FakeClient())
-    assert bench.driver.open_request_count == 1
+def test_an_id_in_the_table_is_not_accepted_twice(harness: DriverHarness) -> None:
+    request, _ = harness.arrive()
+    assert not harness.driver.accept_request(request, FakeClient())
+    assert harness.driver.open_request_count == 1
 
 
-def test_the_bound_on_open_requests(bench: Bench) -> None:
-    bench.arrive()
-    assert not bench.driver.at_capacity()
-    bench.arrive()
-    assert bench.driver.at_capacity()
+def test_the_limit_on_open_requests(harness: DriverHarness) -> None:
+    harness.arrive()
+    assert not harness.driver.at_capacity()
+    harness.arrive()
+    assert harness.driver.at_capacity()
 
 
-def test_every_request_gets_one_answer_whatever_happens(bench: Bench) -> None:
-    """Random outcomes, cancels, departures and times: one answer each at most, and nothing is left over."""
-    choice = random.Random(4)
-    def on(event: api.Event) -> list[api.Action]:
-        if choice.random() < 0.02:
-            raise RuntimeError("now and then")
+def test_every_request_gets_one_answer_under_random_events(harness: DriverHarness) -> None:
+    """Outcomes, cancels, disconnects, exceptions and timeouts are random; no request stays in the table."""
+    rng = random.Random(4)
+    def react(event: api.Event) -> list[api.Action]:
+        if rng.random() < 0.02:
+            raise RuntimeError("random failure")
         if isinstance(event, api.RequestArrived):
-            return [api.Send(event.id, choice.choice(["b1", "b2", "b9"]), choice.choice([0.0, 30.0]))]
+            return [api.Send(event.id, rng.choice(["b1", "b2", "b9"]), rng.choice([0.0, 30.0]))]
         if isinstance(event, api.AttemptEnded) and not event.request_finished:
-            again: list[api.Action] = [api.Send(event.request, "b1", 0.0), api.Cancel(event.request, 0)]
-            return choice.choice([again, [api.Refuse(event.request, 5.0)], [api.Fail(event.request)], []])
+            retry: list[api.Action] = [api.Send(event.request, "b1", 0.0), api.Cancel(event.request, 0)]
+            return rng.choice([retry, [api.Refuse(event.request, 5.0)], [api.Fail(event.request)], []])
         return []
-    bench.script.on = on
-    callers, left = [], set()
+    harness.balancer.react = react
+    clients, disconnected_ids = [], set()
     for _ in range(400):
-        request, client = bench.arrive(choice.uniform(0.0, 300.0))
-        callers.append((request.id, client))
-        for call in choice.sample(bench.transport.started[-5:], k=min(2, len(bench.transport.started))):
+        request, client = harness.arrive(rng.uniform(0.0, 300.0))
+        clients.append((request.id, client))
+        for call in rng.sample(harness.pool.started[-5:], k=min(2, len(harness.pool.started))):
             call.complete(
-                choice.choice(
+                rng.choice(
                     [Outcome.OK, Outcome.RESET, Outcome.ERROR, Outcome.REJECTED, Outcome.CONNECT_FAILED]
                 ),
-                ok(),
+                ok_response(),
             )
-        if choice.random() < 0.1:
+        if rng.random() < 0.1:
             if not client.answers:
-                left.add(request.id)
-            bench.driver.client_disconnected(request)
-        bench.loop.turn()
-        bench.loop.advance(choice.uniform(0.0, 20.0))
-    bench.loop.advance(1000.0)
-    assert bench.driver.requests == {}
-    assert bench.driver.open_request_count == 0
-    for name, client in callers:
-        assert len(client.answers) == (0 if name in left else 1)
+                disconnected_ids.add(request.id)
+            harness.driver.client_disconnected(request)
+        harness.loop.run_callbacks()
+        harness.loop.advance(rng.uniform(0.0, 20.0))
+    harness.loop.advance(1000.0)
+    assert harness.driver.requests == {}
+    assert harness.driver.open_request_count == 0
+    for request_id, client in clients:
+        assert len(client.answers) == (0 if request_id in disconnected_ids else 1)
