--- a/honeywharf/net/downstream.py
+++ b/honeywharf/net/downstream.py
@@ -18,10 +18,10 @@
 READY = b"/health/ready"
 CALLS = b"/api"
 MAX_PIPELINED = 8  # requests sent ahead on one connection, of so many bytes: clients send one at a time
-MAX_PIPELINED_BYTES = http1.MAX_BODY
-SILENT_MS = 2000.0  # a connection on which nothing has come is closed then
-IDLE_MS = 6000.0  # and so is one that has been idle so long after an answer; where callers crowd, earlier:
-CROWDED_IDLE_MS = 2000.0
+MAX_PIPELINED_BYTES = http1.MAX_REQUEST_BODY_BYTES
+FIRST_BYTE_TIMEOUT_MS = 2000.0  # a connection on which nothing has come is closed then
+IDLE_TIMEOUT_MS = 6000.0  # and so is one that has been idle so long after an answer
+REDUCED_IDLE_TIMEOUT_MS = 2000.0  # the idle timeout while more than half of the connections are taken
 SLOW_MS = 2400.0  # a request must be whole so long after its first byte
 YOUNG_MS = 250.0  # under that age a connection that says nothing is not the first to go
 LINGER_S = 0.5  # after a last answer: closing on unread bytes would take the answer back
@@ -44,7 +44,7 @@
         self.current: http1.Request | None = None
         self.pipelined: deque[http1.Request] = deque()
         self.pipelined_bytes = 0
-        self.fault: http1.MalformedError | None = None
+        self.fault: http1.MalformedMessageError | None = None
         self.finished = False  # nothing more is read or answered here
         self.discarded_bytes = 0  # bytes that came after that
         self.group: dict[Connection, None] | None = None  # which of the frontend's groups it is in
@@ -70,11 +70,11 @@
         if self.fault is not None:
             return
         requests = self.reader.feed(data)
-        self.fault = self.reader.fault
+        self.fault = self.reader.error
         if requests:
             now = self.frontend.clock.now()
             for request in requests:
-                request.read_ms = now
+                request.received_ms = now
                 self.pipelined.append(request)
                 self.pipelined_bytes += len(request.body)
             if len(self.pipelined) > MAX_PIPELINED or (
@@ -115,10 +115,10 @@
         request, self.current = self.current, None
         if request is None or self.finished:
             return
-        keep = request.keep and not self.frontend.draining
-        self.transport.write(http1.answer(
-            status, body, keep=keep, retry_after_ms=retry_after_ms, kind=content_type))
-        if not keep:
+        keep_alive = request.keep_alive and not self.frontend.draining
+        self.transport.write(http1.format_response(
+            status, body, keep_alive=keep_alive, retry_after_ms=retry_after_ms, content_type=content_type))
+        if not keep_alive:
             self._linger()
         elif self.pipelined or self.fault is not None:
             self.frontend.loop.call_soon(self._resume)
@@ -133,7 +133,7 @@
         """Answer an invalid request, and read no more."""
         if self.finished:
             return
-        self.transport.write(http1.answer(status, keep=False))
+        self.transport.write(http1.format_response(status, keep_alive=False))
         self._linger()
 
     def _linger(self) -> None:
@@ -221,7 +221,7 @@
         self.listener: socket.socket | None = None
         self.accepting: set[asyncio.Task[object]] = set()
         self.draining = False
-        self.refusing = False  # the process is about to end: what comes now is refused at once
+        self.refusing_requests = False  # the process is about to end: what comes now is refused at once
         self.on_empty: Callable[[], None] | None = None
 
     async def listen(self, where: Address) -> Address:
@@ -298,7 +298,7 @@
             connection.answer(404)
         elif self.driver.validation_error(request) is not None:
             connection.reject(400)
-        elif self.refusing or self.driver.at_capacity():
+        elif self.refusing_requests or self.driver.at_capacity():
             connection.answer(SERVICE_UNAVAILABLE)  # before it reaches the module: nothing has run
         elif not self.driver.accept_request(request, connection):
             connection.answer(409)
@@ -354,8 +354,8 @@
     def _sweep(self) -> None:
         """Guards against callers that keep a descriptor and ask nothing, or never come to an end."""
         now, crowded = self.clock.now(), len(self.connections) * 2 > self.max_connections
-        self._close_older(self.silent, now - SILENT_MS)
-        self._close_older(self.idle, now - (CROWDED_IDLE_MS if crowded else IDLE_MS))
+        self._close_older(self.silent, now - FIRST_BYTE_TIMEOUT_MS)
+        self._close_older(self.idle, now - (REDUCED_IDLE_TIMEOUT_MS if crowded else IDLE_TIMEOUT_MS))
         while self.partial and (first := next(iter(self.partial))).since_ms <= now - SLOW_MS:
             first.reject(408)
         self.loop.call_later(SWEEP_S, self._sweep)
--- a/honeywharf/net/driver.py
+++ b/honeywharf/net/driver.py
@@ -13,7 +13,7 @@
 from honeywharf.net import http1
 from honeywharf.net.attempts import Attempt, PendingRequest, Probe
 from honeywharf.net.calls import Client, ConnectionPool, DiscoveryClient
-from honeywharf.net.clock import TIMER_EARLY_MS, Clock, Loop
+from honeywharf.net.clock import TIMER_TOLERANCE_MS, Clock, Loop
 from honeywharf.net.log import log
 
 # The final answer is due this long before the client's deadline. The client's time runs from when it sent the
@@ -61,7 +61,7 @@
             return "unknown class"
         if not request.id:
             return "no request id"
-        if request.left_ms is None:
+        if request.time_left_ms is None:
             return "no valid remaining time"
         if request.method != (b"GET" if request_class.idempotency is api.Idempotency.REPEATABLE else b"POST"):
             return "the method does not match the class"
@@ -77,20 +77,21 @@
 
     def accept_request(self, request: http1.Request, client: Client) -> bool:
         """Accept a valid request, and return True; return False if its id is already in the table."""
-        if request.id in self.requests or request.left_ms is None:
+        if request.id in self.requests or request.time_left_ms is None:
             return False
         # No client waits longer than the deadline of its class; without this bound, a client that claims a
         # remaining time of years would stay in the table for as long.
         max_remaining_ms = self.classes[request.class_name].deadline_ms
-        remaining_ms = max(0.0, min(request.left_ms, max_remaining_ms) - ANSWER_MARGIN_MS)
-        remaining_ms -= self.clock.now() - request.read_ms
+        remaining_ms = max(0.0, min(request.time_left_ms, max_remaining_ms) - ANSWER_MARGIN_MS)
+        remaining_ms -= self.clock.now() - request.received_ms
         pending = PendingRequest(request, client, self.clock.now() + remaining_ms)
         self.requests[request.id] = pending
         self.open_request_count += 1
         pending.timer = self.loop.call_later(max(0.0, remaining_ms) / 1000.0, self._deadline_reached, pending)
         self._enqueue(api.RequestArrived(
-            request.id, request.class_name, remaining_ms, request.account, request.repeat, request.sid,
-            http1.pairs(request.facts).get("isWrite", 0.0) > 0 if request.facts else False, request.hint_ms,
+            request.id, request.class_name, remaining_ms, request.account, request.is_retry, request.session_id,
+            http1.parse_named_numbers(request.facts).get("isWrite", 0.0) > 0 if request.facts else False,
+            request.work_hint_ms,
         ), pending)
         return True
 
@@ -129,11 +130,11 @@
             attempt.timer.cancel()
         if outcome is api.Outcome.OK and response is not None and not pending.finished:
             self._finish(pending, "served")
-            pending.client.answer(200, response.body, content_type=response.kind)
+            pending.client.answer(200, response.body, content_type=response.content_type)
         self._count(outcome.value)
         self._enqueue(api.AttemptEnded(
             pending.request.id, attempt.number, outcome, now - attempt.started_ms, pending.finished,
-            self._parse_load_report(response.load) if response is not None else None, attempt.endpoint,
+            self._parse_load_report(response.load_report) if response is not None else None, attempt.endpoint,
             (now if attempt.written_ms is None else attempt.written_ms) - attempt.started_ms,
         ), pending)
 
@@ -146,7 +147,7 @@
             probe.timer.cancel()
         report = None
         if response is not None:
-            report = self._parse_load_report(response.load or response.body)
+            report = self._parse_load_report(response.load_report or response.body)
         self._enqueue(api.ProbeEnded(probe.endpoint, outcome, self.clock.now() - probe.started_ms, report))
 
     # Timers.
@@ -154,7 +155,7 @@
     def _deadline_reached(self, pending: PendingRequest) -> None:
         """Time out the active attempts at the request's deadline, when the final answer is due."""
         early_ms = pending.deadline_at_ms - self.clock.now()
-        if early_ms > TIMER_EARLY_MS:
+        if early_ms > TIMER_TOLERANCE_MS:
             pending.timer = self.loop.call_later(early_ms / 1000.0, self._deadline_reached, pending)
             return
         for attempt in pending.attempts:
@@ -284,7 +285,7 @@
             self, pending, action.endpoint, now, attempt_deadline_at_ms, now + action.send_within_ms)
         pending.attempts.append(attempt)
         pending.active_attempt_count += 1
-        if attempt_deadline_at_ms < pending.deadline_at_ms - TIMER_EARLY_MS:
+        if attempt_deadline_at_ms < pending.deadline_at_ms - TIMER_TOLERANCE_MS:
             # Otherwise the request's timer ends the attempt.
             attempt.timer = self.loop.call_later(
                 (attempt_deadline_at_ms - now) / 1000.0, self._time_out_attempt, attempt)
@@ -361,7 +362,7 @@
         """Return the values of a load report in the order of the settings, or None if one is missing."""
         if not load or not self.load_report_names:
             return None
-        reported = http1.pairs(load)
+        reported = http1.parse_named_numbers(load)
         values = [
             reported.get(configured_name, reported.get(mapped_name))
             for configured_name, mapped_name in self.load_report_names
--- a/honeywharf/net/directory.py
+++ b/honeywharf/net/endpoint_directory.py
@@ -5,9 +5,9 @@
 from typing import Any, NamedTuple
 
 from honeywharf import interface as api
-from honeywharf.net.config import Address, address
+from honeywharf.net.config import Address, parse_address
+from honeywharf.net.connection_pool import ConnectionPool
 from honeywharf.net.log import log
-from honeywharf.net.upstream import Pool
 
 MAX_STARTED_MS = 1e15
 MAX_WEIGHT = 1e9
@@ -17,7 +17,7 @@
 }
 
 
-class GenerationWentBackError(ValueError):
+class OlderGenerationError(ValueError):
     """Changes up to a generation older than the one held: they do not follow on the list held."""
 
 
@@ -46,14 +46,14 @@
             endpoint_id, str(raw.get("zone", "")), state, cell, float(started) or None, float(weight),
             str(raw.get("machineType", "")),
         ),
-        NO_ADDRESS if removed and not host_port else address(host_port),
+        NO_ADDRESS if removed and not host_port else parse_address(host_port),
     )
 
 
-class Directory:
+class EndpointDirectory:
     """The endpoints of the last list and its generation; keeps the pool's endpoints the same as its own."""
 
-    def __init__(self, pool: Pool) -> None:
+    def __init__(self, pool: ConnectionPool) -> None:
         self.pool = pool
         self.generation = 0
         self.endpoint_ids: set[str] = set()
@@ -61,7 +61,7 @@
     def apply(self, raw: Any, kind: api.ListKind | None = None) -> api.EndpointsListed:
         """Apply a list to the pool and return it as an event; ValueError where it is no list.
 
-        GenerationWentBackError where it is changes that end before the generation held; nothing is applied.
+        OlderGenerationError where it is changes that end before the generation held; nothing is applied.
         A list of a given kind is a full one. Without a kind, the list says whether it is full.
         """
         if not isinstance(raw, dict) or not isinstance(raw.get("instances"), list):
@@ -71,7 +71,7 @@
             raise ValueError("a list has a generation")
         full = bool(raw.get("reset")) or kind is not None
         if not full and generation < self.generation:
-            raise GenerationWentBackError(f"changes to generation {generation}, held is {self.generation}")
+            raise OlderGenerationError(f"changes to generation {generation}, held is {self.generation}")
         entries = self._parse_entries(raw["instances"])
         if full:
             self._remove_unlisted(entries)
@@ -101,7 +101,7 @@
             return
         self.endpoint_ids.add(endpoint.id)
         ready = endpoint.state is api.EndpointState.READY
-        self.pool.set_endpoint(endpoint.id, entry.address, endpoint.started_ms, open_for_work=ready)
+        self.pool.set_endpoint(endpoint.id, entry.address, endpoint.started_ms, accepts_calls=ready)
 
     def _remove(self, endpoint_id: str) -> None:
         self.endpoint_ids.discard(endpoint_id)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -137,11 +137,11 @@
             ("pending", "busy_reqs"))
         self.request_count = 0
 
-    def arrive(self, left_ms: float = 1000.0) -> tuple[http1.Request, FakeClient]:
+    def arrive(self, time_left_ms: float = 1000.0) -> tuple[http1.Request, FakeClient]:
         self.request_count += 1
         request, client = http1.Request(), FakeClient()
-        request.id, request.class_name, request.left_ms = f"r{self.request_count}", "order", left_ms
-        request.method, request.target, request.read_ms = b"POST", b"/api", self.clock.now_ms
+        request.id, request.class_name, request.time_left_ms = f"r{self.request_count}", "order", time_left_ms
+        request.method, request.target, request.received_ms = b"POST", b"/api", self.clock.now_ms
         assert self.driver.accept_request(request, client)
         self.loop.run_callbacks()
         return request, client
@@ -273,8 +273,8 @@
 
 def test_time_since_the_request_was_read_reduces_its_remaining_time(harness: DriverHarness) -> None:
     request, client = http1.Request(), FakeClient()
-    request.id, request.class_name, request.left_ms = "r9", "order", 1000.0
-    request.read_ms = harness.clock.now_ms - 300.0  # it was queued behind another request
+    request.id, request.class_name, request.time_left_ms = "r9", "order", 1000.0
+    request.received_ms = harness.clock.now_ms - 300.0  # it was queued behind another request
     assert harness.driver.accept_request(request, client)
     harness.loop.run_callbacks()
     (event,) = harness.events(api.RequestArrived)
@@ -444,7 +444,7 @@
 
 def test_discovery_events_are_processed_before_queued_events(harness: DriverHarness) -> None:
     request, client = http1.Request(), FakeClient()
-    request.id, request.class_name, request.left_ms, request.read_ms = (
+    request.id, request.class_name, request.time_left_ms, request.received_ms = (
         "r1", "order", 1000.0, harness.clock.now_ms)
     harness.driver.accept_request(request, client)
     harness.driver.handle_discovery_event(api.EndpointsListed(api.ListKind.CHANGES))
