--- a/honeywharf/net/driver.py
+++ b/honeywharf/net/driver.py
@@ -88,11 +88,19 @@
         self.requests[request.id] = pending
         self.open_request_count += 1
         pending.timer = self.loop.call_later(max(0.0, remaining_ms) / 1000.0, self._deadline_reached, pending)
-        self._enqueue(api.RequestArrived(
-            request.id, request.class_name, remaining_ms, request.account, request.is_retry, request.session_id,
-            http1.parse_named_numbers(request.facts).get("isWrite", 0.0) > 0 if request.facts else False,
-            request.work_hint_ms,
-        ), pending)
+        self._enqueue(
+            api.RequestArrived(
+                request.id,
+                request.class_name,
+                remaining_ms,
+                request.account,
+                request.is_retry,
+                request.session_id,
+                http1.parse_named_numbers(request.facts).get("isWrite", 0.0) > 0 if request.facts else False,
+                request.work_hint_ms,
+            ),
+            pending,
+        )
         return True
 
     def client_disconnected(self, request: http1.Request) -> None:
@@ -271,7 +279,7 @@
         if action.timeout_ms:
             attempt_deadline_at_ms = min(attempt_deadline_at_ms, now + action.timeout_ms)
         if (pending.finished or len(pending.attempts) >= self.settings.limits.max_attempts
-                or attempt_deadline_at_ms <= now + TIMER_EARLY_MS
+                or attempt_deadline_at_ms <= now + TIMER_TOLERANCE_MS
                 or not self.pool.has_endpoint(action.endpoint)):
             # The send would break a rule on final answers, repeated effects or drains. The driver enforces
             # these rules even if the balancer is faulty.
