--- a/honeywharf/balancer.py
+++ b/honeywharf/balancer.py
@@ -26,10 +26,11 @@
 # Random picks from one priority level before the balancer goes on to the next level. If half of the servers
 # of a level can get the request, 8 picks find one of them 255 times in 256.
 MAX_PICKS_PER_LEVEL = 8
-# The maximum backoff after a failed watch is the first value times the number of balancers, and at least the
-# second value. The first is about the time that discovery needs to serve one balancer, so that it can serve
-# all of them. A longer backoff could by itself let the list expire.
+# The maximum backoff after a failed watch is this time multiplied by the number of balancers. Discovery needs
+# about this time to serve one balancer, so it can serve all of them within the maximum backoff. A longer
+# backoff could by itself let the list expire.
 MAX_WATCH_BACKOFF_PER_BALANCER_MS = 50.0
+# The maximum backoff is at least this long, however few balancers there are.
 MAX_WATCH_BACKOFF_FLOOR_MS = 500.0
 # Retry tokens that each request adds to the retry budget, so that retries add at most a tenth to the load
 # when every attempt fails.
@@ -74,6 +75,7 @@
         self.queued_deadlines: list[tuple[float, str]] = []  # a heap of deadlines and ids of queued requests
         self.tenants = {t.name: t for t in settings.tenants}
         self.tenant_quotas: dict[str, TenantQuota] = {}
+        # The running mean of the worth of the requests. It starts at the greatest worth of all classes.
         self.mean_worth = max(c.worth for c in settings.classes) or 1.0
         self.retry_tokens = MAX_RETRY_TOKENS
         self.failed_watches, self.now_ms = 0, 0.0
@@ -95,6 +97,7 @@
             if event.request in self.requests:
                 self._finish(self.requests[event.request])
         elif isinstance(event, api.Started):
+            # The first polls of balancers that start together are spread over a tenth of the poll interval.
             self._schedule_watch(self.settings.rules.poll_interval_ms / 10)
         elif isinstance(event, api.TimerFired):
             self._on_timer(event.token)
@@ -138,6 +141,8 @@
             interval_ms = self.settings.rules.poll_interval_ms
             limit_ms = max(
                 MAX_WATCH_BACKOFF_FLOOR_MS, MAX_WATCH_BACKOFF_PER_BALANCER_MS * self.settings.balancer_count)
+            # The longest delay starts at a fifth of the poll interval and doubles with each consecutive
+            # failure, up to the interval or the limit.
             self._schedule_watch(min(interval_ms, limit_ms, interval_ms / 10 * 2 ** self.failed_watches))
             return
         self.failed_watches, self.list_expires_at_ms = 0, event.expires_at_ms
@@ -153,8 +158,8 @@
         """Choose a random server from the first priority level in which a few picks find a suitable one."""
         self.host_set.refresh_if_due(self.now_ms)
         if self._is_list_expired():
-            # Any listed server may have begun to drain or be gone, and the balancer is treated as informed of
-            # it. That a server responds proves nothing, because draining servers accept calls too.
+            # The list may be stale: any listed server may have begun to drain or be gone. That a server
+            # responds proves nothing, because draining servers accept calls too.
             return None
         local_zone, random_fraction = self.host_set.zones.get(self.settings.zone), self.random.random()
         for priority, level in enumerate(self.host_set.priority_levels):
@@ -172,7 +177,11 @@
     def _pick_from_level(
         self, level: list[Server], priority: int, request: Request, random_fraction: float,
     ) -> Server | None:
-        """Pick random servers of a level, a few at most, until one may get the request and has capacity."""
+        """Pick random servers of a level, a few at most, until one may get the request and has capacity.
+
+        `priority` is the index of the level. Level 2 is the last resort: it holds the same servers as level
+        1, but ignores their ejections, and in tiers other than the first also their concurrency limits.
+        """
         if request.first_attempt_that_may_have_run() is not None:  # only some servers may be safe for a retry
             level = [s for s in level if request.may_send_to(s.endpoint, self.now_ms)]
         last_server = request.attempts[-1].server if request.attempts else None
@@ -276,7 +285,7 @@
         server.active_calls[attempt] = None
         zone.in_flight += 1
         if server.warming_up:
-            self.host_set.schedule_warm_up_call(server, 0.5, 1.5, self.now_ms)
+            self.host_set.set_next_warm_up_call_time(server, 0.5, 1.5, self.now_ms)
         self.actions.append(api.Send(
             request.id, server.endpoint.id, request.deadline_at_ms - self.now_ms, send_within_ms))
 
@@ -325,8 +334,10 @@
             self._finish(request)
         elif not any(a.active for a in request.attempts):
             self._retry(request, event.outcome)
-        else:  # another attempt is in flight and may still succeed, so there is no final response yet
-            self._send_hedged(request)
+        else:
+            # Another attempt is in flight. The balancer waits for it, because it may still succeed unless it
+            # hangs.
+            self._hedge_if_all_hung(request)
         if event.outcome is api.Outcome.OK and not attempt.is_hung:
             self._detect_hung_calls(attempt, request.request_class)
 
@@ -338,8 +349,8 @@
         rejected = event.outcome is api.Outcome.REJECTED
         latency_ratio = (
             3.0 if rejected else event.response_time_ms / (LATENCY_TARGET_FRACTION * request_class.aim_ms))
-        # An early failure (a refused connection, an error, a short deadline) is no sign of spare capacity. A
-        # success therefore always counts, and other outcomes only if they took longer than the target.
+        # A success always counts. Another outcome counts only if it took longer than the target, because an
+        # early failure (a refused connection, an error, a short deadline) is no sign of spare capacity.
         if event.outcome is api.Outcome.OK or (event.outcome not in NO_LOAD_OUTCOMES and latency_ratio > 1.0):
             zone.adapt_limit(latency_ratio, self.now_ms)
 
@@ -381,10 +392,10 @@
             call.release()
             if call.ejections == call.server.ejections:
                 self.outliers.record_hung_call(call.server, self.now_ms)
-            self._send_hedged(request)
+            self._hedge_if_all_hung(request)
 
-    def _send_hedged(self, request: Request) -> None:
-        """Send a hedged request, a second concurrent attempt, for a request whose calls all hang.
+    def _hedge_if_all_hung(self, request: Request) -> None:
+        """Send a hedged request, a further concurrent attempt, if all active calls of the request hang.
 
         It is sent only if the request's class, the limit on attempts and the retry budget allow it.
         """
--- a/honeywharf/codec.py
+++ b/honeywharf/codec.py
@@ -53,7 +53,7 @@
     "zone": api.DedupeScope.ZONE,
     "cell": api.DedupeScope.CELL,
 }
-#: Values of the setting `how` in the group `report`.
+#: Values of the setting `how` in the object `report`.
 LOAD_REPORTING_BY_NAME = {
     "piggyback": api.LoadReporting.IN_RESPONSES,
     "pull": api.LoadReporting.BY_PROBE,
--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -241,7 +241,8 @@
     `over_quota_worth_factor`: multiplies the worth of the requests that a tenant makes beyond its quota.
     `tier`: the index in `tier_names` of the tier that the balancer sends to. Tier 0, the first tier, serves
     the clients. Each tier calls the next one, its upstream tier.
-    `balancer_count`, `balancer_index`: the number of balancers of this tier, and the index of this one.
+    `balancer_count`, `balancer_index`: the number of balancers that send to that tier, and the index of this
+    one.
     `zone_count`, `tier_count`: the number of zones and of tiers, even if they are not named.
     `polled_discovery`: the balancer requests the endpoint list with WatchEndpoints when it starts and after
     each failure. Otherwise lists are pushed to it.
@@ -357,9 +358,8 @@
 class ListExpiryChanged:
     """The current endpoint list expires at `expires_at_ms`, and the balancer sends nothing from then on.
 
-    From then on the balancer is treated as informed of every change that the list may lack: it must act on
-    such a change, whether or not a response with it has arrived. If the time is in the past, the balancer
-    sends nothing until the next EndpointsListed event, which may be one that lists no change.
+    An expired list may be stale. If the time is in the past, the balancer sends nothing until the next
+    EndpointsListed event, which may be one that lists no change.
     """
 
     expires_at_ms: float
--- a/honeywharf/policy/concurrency.py
+++ b/honeywharf/policy/concurrency.py
@@ -13,9 +13,9 @@
 #: A limit below its initial value grows this many times faster than one above it, because the initial limit
 #: is known to be safe.
 RECOVERY_SPEEDUP = 4.0
-#: A request of mean worth or more is admitted up to this many calls beyond the limit, and one of less worth
-#: up to proportionally fewer. Without them, a limit of about one call rejects a third of the calls by chance
-#: alone.
+#: A request of mean worth or more is admitted up to this many calls beyond the limit, one of less worth up
+#: to proportionally fewer, and one over its tenant's quota up to far fewer. Without these extra calls, a
+#: limit of about one call rejects a third of the calls by chance alone.
 EXTRA_CALLS = 1.0
 #: Responses that take twice the target lower a limit by a factor of e in this time. It is about as long as it
 #: takes until responses show the effect of a change of the limit.
@@ -64,14 +64,15 @@
 
         If a server is given, the call must fit into that server's part of the limit. Otherwise calls would
         pile up on one server, or keep a small server as busy as a large one, while other servers have
-        capacity left. A server without active calls always admits one. If many balancers share it, its part
-        of the limit is less than one call, and since `random_fraction` is the same for all servers, they
-        would all reject the same call.
+        capacity left. A server without active calls always admits one. Otherwise, if many balancers share the
+        servers, each server's part of the limit would be less than one call, and all servers would reject the
+        same call, because `random_fraction` is the same for all of them.
         """
         if server is not None and not server.active_calls:
             return True
         active_calls = self.in_flight if server is None else len(server.active_calls)
         capacity = self.capacity if server is None else server.capacity
+        # For a request within its quota, this power turns the share back into the worth relative to the mean.
         extra_calls: float = EXTRA_CALLS * limit_share ** (1.0 / WORTH_EXPONENT)
         return active_calls + random_fraction < self.limit * capacity * limit_share + extra_calls
 
--- a/honeywharf/policy/host_set.py
+++ b/honeywharf/policy/host_set.py
@@ -17,27 +17,29 @@
 FULL_TRAFFIC_LATENCY = 1.2
 #: A slow server gets at least this fraction of an equal share.
 MIN_SLOW_SERVER_FRACTION = 0.2
-#: The initial concurrency limit allows each server this many calls for its own tier and again for each
-#: upstream tier: one that is being executed and one in the queue. With only one, a core of the server would
-#: be idle whenever its call waits for something else.
+#: The initial concurrency limit of a server, summed over all balancers, is this many calls multiplied by the
+#: number of tiers from its own tier to the last one. Of the two calls per tier, one is being executed and one
+#: waits in the queue. With only one, a core of the server would be idle whenever its call waits for something
+#: else.
 INITIAL_CALLS_PER_TIER = 2.0
 #: A cold server gets the load that would overload it divided by this factor, because calls arrive at random
 #: times and differ in their work.
 SLOW_START_SAFETY_FACTOR = 3.0
 #: The response rate is averaged over this time, or over a longer one if there are few responses.
 RATE_WINDOW_MS = 5000.0
-#: The average covers at least this many responses. Even then, chance makes the peak rate a fifth too high.
+#: The average covers at least this many responses. The peak of such an average is about a fifth above the
+#: true rate, because of random variation.
 RATE_WINDOW_RESPONSES = 20.0
 #: The peak rate decays slowly, over this time, so that it stays known while no server responds.
 PEAK_DECAY_MS = 60000.0
 
 
 class ResponseRate:
-    """The rate of responses from one warm server to this balancer, per millisecond, and its recent peak."""
+    """The mean rate of responses per warm server to this balancer, per millisecond, and its recent peak."""
 
     def __init__(self, min_rate: float) -> None:
         self.min_rate = self.rate = self.peak = min_rate
-        self.responses = 0  # Responses since the last update.
+        self.responses = 0  # The responses of all servers since the last update.
         self.updated_ms = 0.0
 
     def update(self, total_traffic_fraction: float, now_ms: float) -> None:
@@ -92,7 +94,7 @@
             # A restarted process starts without the health record of its predecessor.
             server = self.servers[endpoint.id] = Server(endpoint)
             if self._warm_fraction(endpoint, now_ms) < 1.0:
-                self.schedule_warm_up_call(server, 0.0, 1.0, now_ms)
+                self.set_next_warm_up_call_time(server, 0.0, 1.0, now_ms)
         else:
             current.endpoint = endpoint
 
@@ -123,15 +125,17 @@
         self._refresh_zones(ready_servers)
 
     def _refresh_zones(self, ready_servers: list[Server]) -> None:
-        default_limit = (
+        # The balancers of a zone share its servers, and each of them gets an equal part of the limit. A zone
+        # has `balancer_count` / `zone_count` balancers on average.
+        zone_initial_limit = (
             INITIAL_CALLS_PER_TIER
             * (self.settings.tier_count - self.settings.tier)
             * self.settings.zone_count
         )
-        default_limit /= self.settings.balancer_count
+        zone_initial_limit /= self.settings.balancer_count
         for zone in self.zones.values():
-            zone.limit = zone.limit or default_limit  # A limit that has adapted is kept.
-            zone.initial_limit = default_limit
+            zone.limit = zone.limit or zone_initial_limit  # A limit that has adapted is kept.
+            zone.initial_limit = zone_initial_limit
             zone.ejection_margin, zone.ready_servers, zone.capacity = 0, 0, 0.0
         for name, count in Counter([s.endpoint.zone for s in ready_servers]).items():
             self.zones[name].ejection_margin -= 2 * count
@@ -147,10 +151,10 @@
             zone.ejection_margin += 3
 
     def _warm_fraction(self, endpoint: api.Endpoint, now_ms: float) -> float:
-        """The least fraction of its full capacity that a server can have, by the time since its start.
+        """The fraction of its full capacity that a server is sure to have, by the time since its start.
 
-        The server gets at most this fraction of an equal share of the calls. Otherwise it would be overloaded
-        while it is cold.
+        The server gets at most the same fraction of an equal share of the calls. Otherwise it would be
+        overloaded while it is cold.
         """
         rules = self.settings.rules
         if endpoint.started_ms is None or rules.warm_up_ms <= 0:
@@ -158,7 +162,7 @@
         age = max(0.0, now_ms - endpoint.started_ms) / rules.warm_up_ms
         return min(1.0, rules.slow_start_share + (1.0 - rules.slow_start_share) * age)
 
-    def schedule_warm_up_call(
+    def set_next_warm_up_call_time(
             self, server: Server, min_intervals: float, max_intervals: float, now_ms: float) -> None:
         """Set the earliest time of the next call from this balancer to a cold server.
 
--- a/honeywharf/policy/list_freshness.py
+++ b/honeywharf/policy/list_freshness.py
@@ -3,26 +3,29 @@
 A poll is one HTTP request to discovery. A long poll waits at discovery until there is a change, at most for a
 given time. A watch is the chain of long polls that discovery keeps open.
 
-By the rules for draining servers (`contract` in the settings), a proxy is treated as informed of a change a
-fixed time after discovery learned of it. From then on the proxy must act on the change, whether or not a
-response has arrived, so it must not use a list that may lack the change. The age of a list is therefore
-measured from the latest time at which discovery is known to have had nothing newer. It is never measured from
-the time at which a response was received, processed or loaded, because the response may have been in transit
-for long, and the process may have been suspended.
+Each change at discovery has a propagation deadline, a fixed time after discovery learned of it. From then on
+the proxy must obey the change, whether or not a response with it has arrived: for example, it must stop
+sending calls to a draining server (`contract` in the settings). A list that is older than this time may lack
+such a change, and a proxy that used it might break the rules for draining servers. The list therefore expires
+and is not used any more.
+
+The age of a list is measured from the latest time at which discovery is known to have had nothing newer. It
+is never measured from the time at which a response was received, processed or loaded, because the response
+may have been in transit for long, and the process may have been suspended.
 """
 
 from __future__ import annotations
 
 import math
 
-# A proxy is treated as informed of a change this long after discovery had the change and was reachable, even
-# if the proxy's polls failed.
+# The propagation deadline of a change is this long after discovery had the change and was reachable, even if
+# the proxy's polls failed.
 MAX_AGE_MS = 6000.0
-# A proxy re-reads the address of discovery on SIGHUP. This long after the signal, it is treated as informed
-# of everything that discovery lists at the new address.
+# A proxy re-reads the address of discovery on SIGHUP. The propagation deadline of everything that discovery
+# lists at the new address is this long after the signal.
 MAX_AGE_AFTER_ADDRESS_CHANGE_MS = 4000.0
 # The longest wait of one long poll. A broken connection goes unnoticed until the wait is over. The response
-# to the next poll must then arrive before the proxy is treated as informed of the changes that it missed.
+# to the next poll must then arrive before the propagation deadline of the changes that the proxy missed.
 # Renewing an active watch this often costs little, because such a poll does not queue at discovery.
 MAX_WAIT_MS = 4000
 # The maximum age is at least this long, even if the settings require polls at shorter intervals. An active
@@ -37,9 +40,9 @@
 # milliseconds then.
 RESPONSE_MARGIN_MS = 500.0
 # A poll that may have started a new watch can spend longer than RESPONSE_MARGIN_MS in discovery's queue, so
-# its timeout may be longer. The extension ends this long before the list expires, so that the response to
-# another poll can still arrive in time.
-NEW_POLL_TIME_BEFORE_EXPIRY_MS = 1000.0
+# its timeout may be longer. The extended timeout ends this long before the list expires, so that the response
+# to another poll can still arrive.
+TIME_RESERVED_FOR_NEXT_POLL_MS = 1000.0
 # The longest time from a response of discovery to the next poll of the same watch. Discovery ends a watch 200
 # ms after it wrote a response, if no poll has arrived by then. The other 50 ms are for the response and the
 # next poll to be in transit.
@@ -53,12 +56,13 @@
     """
 
     def __init__(self, poll_interval_ms: float = 0.0) -> None:
-        # A proxy that has no watch and has not polled for `poll_interval_ms` is treated as informed of
-        # everything that discovery listed that long ago. 0 means that the settings have no such rule.
-        informed_after_ms = max(MAX_AGE_FLOOR_MS, poll_interval_ms) if poll_interval_ms > 0 else MAX_AGE_MS
-        self.max_age_ms = min(MAX_AGE_MS, informed_after_ms)
+        # If the proxy has no watch and has not polled for `poll_interval_ms`, the propagation deadline has
+        # passed for everything that discovery listed that long ago. 0 means that the settings have no such
+        # rule.
+        required_max_age_ms = max(MAX_AGE_FLOOR_MS, poll_interval_ms) if poll_interval_ms > 0 else MAX_AGE_MS
+        self.max_age_ms = min(MAX_AGE_MS, required_max_age_ms)
         self.last_known_up_to_date_ms = -math.inf  # discovery had nothing newer at this time
-        # From this time the proxy is treated as informed of changes that the list may lack.
+        # From this time the list may lack changes whose propagation deadline has passed.
         self.expires_ms = -math.inf
 
     def mark_up_to_date(self, at_ms: float) -> None:
@@ -97,7 +101,7 @@
         after_wait_ms = wait_ms + RESPONSE_MARGIN_MS
         if self.is_watch_active(sent_ms):
             return after_wait_ms
-        available_ms = self.expires_ms - sent_ms - NEW_POLL_TIME_BEFORE_EXPIRY_MS
+        available_ms = self.expires_ms - sent_ms - TIME_RESERVED_FOR_NEXT_POLL_MS
         return max(after_wait_ms, min(MAX_WAIT_MS + RESPONSE_MARGIN_MS, available_ms))
 
     def wait_ms(self, now_ms: float) -> int:
--- a/honeywharf/policy/outlier.py
+++ b/honeywharf/policy/outlier.py
@@ -146,8 +146,8 @@
         errors = 0
         if outcome is api.Outcome.ERROR:
             errors = server.class_errors[class_name] = server.class_errors.get(class_name, 0) + 1
-        timed_out_again = outcome is api.Outcome.TIMEOUT and server.consecutive_failures > 0
-        if timed_out_again or (errors >= CONSECUTIVE_CLASS_ERRORS_TO_EJECT and (
+        timeout_after_failure = outcome is api.Outcome.TIMEOUT and server.consecutive_failures > 0
+        if timeout_after_failure or (errors >= CONSECUTIVE_CLASS_ERRORS_TO_EJECT and (
                 class_name in server.class_ejected_until_ms or self._has_outlier_failure_rate(server))):
             # A server may time out or return errors for one class only. If it were ejected for all classes, a
             # successful trial call of another class would readmit it for all of them. A single timeout does
@@ -164,9 +164,9 @@
         is_outlier = (
             server.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
             or server.anomaly_score >= EJECTION_SCORE)
-        # Errors that come from a tier upstream of all servers of a zone must not eject them all, so the zone
-        # or the failure rate must justify an ejection. A server that refuses connections is ejected in any
-        # case, because its process is dead.
+        # Errors that come from a tier upstream of all servers of a zone must not eject them all. A server is
+        # therefore ejected only if enough of its zone stays usable or its failure rate is an outlier. A
+        # server that refuses connections is ejected in any case, because its process is dead.
         if server.ejected_until_ms <= now_ms and is_outlier and (
                 connect_failed or self.host_set.can_eject(server) or self._has_outlier_failure_rate(server)):
             self.eject(server, BASE_EJECTION_MS, now_ms)
