--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -62,18 +62,19 @@
         self.pool = ConnectionPool(loop, self.clock, configuration.settings.limits, max_upstream)
         self.driver = Driver(
             configuration.settings, Balancer(configuration.settings, configuration.seed), self.pool, loop,
-            self.clock, configuration.report_fields)
+            self.clock, configuration.configured_report_names)
         self.directory = EndpointDirectory(self.pool)
-        self.watch = DiscoveryClient(
+        self.discovery_client = DiscoveryClient(
             loop, self.clock, configuration.discovery, self.directory, self.driver.handle_discovery_event,
-            polled=configuration.settings.polled_discovery, rules=configuration.settings.rules)
-        self.driver.discovery = self.watch
+            balancer_requests_watches=configuration.settings.polled_discovery,
+            rules=configuration.settings.rules)
+        self.driver.discovery = self.discovery_client
         # The proxy is not ready until discovery has answered, because until then it sends nothing to the
         # endpoints of the cached list. After a timeout it becomes ready all the same, and the decision module
         # refuses the requests that it cannot send.
         self.frontend = Frontend(
             loop, self.clock, self.driver, available - max_upstream,
-            lambda: self.first_list_timed_out or self.watch.initialized)
+            lambda: self.first_list_timed_out or self.discovery_client.initialized)
         self.first_list_timed_out = False
         self.stopped = asyncio.Event()
         self.logged_counts: dict[str, int] = {}
@@ -89,7 +90,7 @@
         self.driver.start(replace(cached_list, expires_at_ms=float("-inf")))
         host, port = await self.frontend.listen(self.configuration.listen)
         log(f"{self.configuration.name} listens on {host}:{port}")
-        self.watch.start()
+        self.discovery_client.start()
         self.loop.call_later(FIRST_LIST_TIMEOUT_S, self._on_first_list_timeout)
         self.loop.call_later(STATS_INTERVAL_S, self._log_stats)
         gc.collect()
@@ -112,7 +113,7 @@
         if (configuration.listen, configuration.max_sockets, configuration.settings) != (
                 old.listen, old.max_sockets, old.settings):
             log("reload: changes of listen, limits and settings take effect at the next start")
-        self.watch.change_address(configuration.discovery)
+        self.discovery_client.change_address(configuration.discovery)
 
     def drain(self) -> None:
         """Stop serving without losing a request; DEPLOY and PROTOCOL describe planned restarts."""
@@ -150,7 +151,7 @@
     def _log_stats(self) -> None:
         """Log the counters that have changed since the last time."""
         counts = {
-            **self.driver.counts, **self.watch.counts, "handshakes": self.pool.handshakes,
+            **self.driver.counts, **self.discovery_client.counts, "handshakes": self.pool.handshakes,
             "late_connections": self.pool.slow_connect_count,
         }
         changed = {
@@ -159,7 +160,7 @@
         if changed:
             log("stats " + " ".join(
                 f"{name.replace(' ', '_')}={count}" for name, count in sorted(changed.items())))
-            log("list " + self.watch.list_summary())
+            log("list " + self.discovery_client.list_summary())
             log("zones " + self.driver.balancer.summary())
         self.logged_counts = counts
         self.loop.call_later(STATS_INTERVAL_S, self._log_stats)
--- a/honeywharf/net/attempts.py
+++ b/honeywharf/net/attempts.py
@@ -50,15 +50,17 @@
     """One attempt of a request."""
 
     __slots__ = (
-        "__weakref__", "active", "latest_send_ms", "number", "owner", "pending", "started_ms", "timer",
+        "__weakref__", "active", "latest_send_ms", "number", "owner", "pending_request", "started_ms",
+        "timer",
     )
 
     def __init__(
-        self, owner: CallOwner, pending: PendingRequest, endpoint: str, now_ms: float, deadline_at_ms: float,
-        latest_send_ms: float,
+        self, owner: CallOwner, pending_request: PendingRequest, endpoint: str, now_ms: float,
+        deadline_at_ms: float, latest_send_ms: float,
     ) -> None:
-        super().__init__(endpoint, pending.head, pending.request.body, deadline_at_ms)
-        self.owner, self.pending, self.number, self.started_ms = owner, pending, len(pending.attempts), now_ms
+        super().__init__(endpoint, pending_request.head, pending_request.request.body, deadline_at_ms)
+        self.owner, self.pending_request, self.number, self.started_ms = (
+            owner, pending_request, len(pending_request.attempts), now_ms)
         self.latest_send_ms = latest_send_ms
         self.active = True  # it has no outcome yet
         self.timer: Timer | None = None
@@ -73,9 +75,9 @@
         """
         if self.owner.clock.now() > self.latest_send_ms:
             return False
-        if not self.pending.finished and self.pending.client.disconnected():
-            self.owner.client_disconnected(self.pending.request)
-        return not self.pending.finished
+        if not self.pending_request.finished and self.pending_request.client.disconnected():
+            self.owner.client_disconnected(self.pending_request.request)
+        return not self.pending_request.finished
 
     def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
         """Report the outcome to the driver."""
--- a/honeywharf/net/calls.py
+++ b/honeywharf/net/calls.py
@@ -15,7 +15,7 @@
 class Client(Protocol):
     """The client of a request, which receives at most one final answer."""
 
-    def answer(
+    def send_response(
         self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
     ) -> None:
         """Write the final answer."""
--- a/honeywharf/net/config.py
+++ b/honeywharf/net/config.py
@@ -24,7 +24,7 @@
 
     `max_sockets`: how many file descriptors the proxy may open.
     `cached_list`: the endpoint list of the last run, in the form in which discovery sends it.
-    `report_fields`: the names of the values in a load report, as the settings give them.
+    `configured_report_names`: the names of the values in a load report, as the settings give them.
     """
 
     name: str
@@ -34,7 +34,7 @@
     max_sockets: int
     cached_list: dict[str, Any]
     settings: api.Settings
-    report_fields: tuple[str, ...]
+    configured_report_names: tuple[str, ...]
 
 
 def parse_address(text: object) -> Address:
@@ -89,7 +89,7 @@
         max_sockets=max_sockets,
         cached_list=cached_list,
         settings=decoded_settings,
-        report_fields=tuple(fields) if isinstance(fields, list) else (),
+        configured_report_names=tuple(fields) if isinstance(fields, list) else (),
     )
 
 
--- a/honeywharf/net/connection_pool.py
+++ b/honeywharf/net/connection_pool.py
@@ -201,8 +201,8 @@
         """
         while sum(not pending.slow for pending in backend.pending_connections) < len(backend.waiting_calls):
             # A connection beside a slow one does not evict an idle connection.
-            beside_slow = len(backend.pending_connections) >= len(backend.waiting_calls)
-            if self.total_connections >= self.max_connections and (beside_slow or not self._evict_idle()):
+            is_additional = len(backend.pending_connections) >= len(backend.waiting_calls)
+            if self.total_connections >= self.max_connections and (is_additional or not self._evict_idle()):
                 # The outcome is NOT_SENT: the proxy's connection limit is not the backend's fault.
                 self._fail_excess_calls(backend, api.Outcome.NOT_SENT)
                 return
--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -35,11 +35,11 @@
 # Discovery takes longer for full lists, both for the proxy's own and for those that are queued before it.
 FULL_LIST_TIMEOUT_MS = 5000.0
 # The pause before the next poll after an answer that came at once and had no changes.
-EMPTY_ANSWER_PAUSE_S = 0.05
+EMPTY_RESPONSE_PAUSE_S = 0.05
 # The longest time between the first and the last byte of an answer, as a fraction of the drain grace period.
 # The proxy is deemed notified of the changes in an answer as soon as discovery writes it. The rest of the
 # grace period is left for calls that are being sent.
-MAX_ANSWER_FRACTION_OF_DRAIN_GRACE = 0.5
+MAX_RESPONSE_FRACTION_OF_DRAIN_GRACE = 0.5
 # The first retry comes after a random time in this range. Both bounds double with each further failure.
 INITIAL_BACKOFF_RANGE_S = (0.02, 0.1)
 MAX_BACKOFF_S = 1.0
@@ -49,7 +49,7 @@
 MAX_BACKOFF_FRACTION_OF_DRAIN_GRACE = 0.5
 # An answer is logged if it has this many entries, or if its poll spent this long in discovery's queue.
 MIN_LOGGED_ENTRIES = 20
-MIN_LOGGED_WAIT_MS = 1000.0
+MIN_LOGGED_RESPONSE_TIME_MS = 1000.0
 OK = 200
 SERVICE_UNAVAILABLE = 503
 
@@ -66,38 +66,39 @@
     is_long: bool = False
     wait_ms: int = 0
     continues_active_watch: bool = False  # certain, not only expected, to continue the watch
-    answer_started_ms: float | None = None
-    answer_timer: asyncio.TimerHandle | None = None  # fires if the answer is incomplete for too long
+    response_started_ms: float | None = None
+    response_timer: asyncio.TimerHandle | None = None  # fires if the answer is incomplete for too long
 
 
 class DiscoveryClient:
     """Polls discovery, with one poll at a time on one connection, and reconnects after each failure.
 
-    `polled`: the balancer requests each watch and is notified when a poll fails. Otherwise lists are pushed.
+    `balancer_requests_watches`: the balancer requests each watch and is notified when a poll fails. Otherwise
+    lists are pushed.
     """
 
     def __init__(
         self, loop: asyncio.AbstractEventLoop, clock: Clock, address: Address, directory: EndpointDirectory,
-        notify: Callable[[api.EndpointsListed | api.ListExpiryChanged], None], *, polled: bool,
-        rules: api.Rules,
+        notify: Callable[[api.EndpointsListed | api.ListExpiryChanged], None], *,
+        balancer_requests_watches: bool, rules: api.Rules,
     ) -> None:
         drain_grace_ms = rules.drain_grace_ms
         self.loop, self.clock, self.address, self.directory = loop, clock, address, directory
         self.notify = notify
-        self.polled = polled
+        self.balancer_requests_watches = balancer_requests_watches
         # Where lists are pushed and the agent was down, the proxy is deemed notified of everything that the
         # agent has as soon as the agent returns, whether or not the proxy has polled again. With a longer
         # backoff, it would send requests to draining servers after the grace period.
-        self.max_backoff_s = MAX_BACKOFF_S if polled else min(
+        self.max_backoff_s = MAX_BACKOFF_S if balancer_requests_watches else min(
             MAX_BACKOFF_S,
             max(INITIAL_BACKOFF_RANGE_S[0], MAX_BACKOFF_FRACTION_OF_DRAIN_GRACE * drain_grace_ms / 1000.0))
-        self.max_answer_duration_s = MAX_ANSWER_FRACTION_OF_DRAIN_GRACE * drain_grace_ms / 1000.0
+        self.max_response_duration_s = MAX_RESPONSE_FRACTION_OF_DRAIN_GRACE * drain_grace_ms / 1000.0
         self.watch_requested = False
         self.full_list_requested = False
         self.address_changed = False  # true until the new address has answered
         self.initialized = False  # true once a poll has been answered or has timed out
-        self.last_answer_started_ms = float("-inf")  # -inf if the last poll failed or timed out
-        self.freshness = ListFreshness(rules.poll_interval_ms if polled else 0.0)
+        self.last_response_started_ms = float("-inf")  # -inf if the last poll failed or timed out
+        self.freshness = ListFreshness(rules.poll_interval_ms if balancer_requests_watches else 0.0)
         self.expiry = ListExpiry(loop, clock, self.freshness, notify, self._on_expiry_due)
         # Whether discovery may have changes that the current list lacks: a poll may have reached discovery
         # but brought no list, or the list is still that of the last run.
@@ -119,7 +120,7 @@
         change was made, not on when the proxy started. So nothing is sent until discovery has answered.
         """
         self._expire("its age is unknown after a restart")
-        if not self.polled:
+        if not self.balancer_requests_watches:
             self.watch()
 
     # Requests of the balancer and of the process.
@@ -146,7 +147,7 @@
         self.expiry.expire_sooner()
         self.address, self.address_changed = address, True
         self.consecutive_failures, self.may_have_missed_changes = 0, True
-        self.last_answer_started_ms = float("-inf")
+        self.last_response_started_ms = float("-inf")
         connect_task, self.connect_task = self.connect_task, None
         if connect_task is not None:
             connect_task.cancel()
@@ -180,7 +181,8 @@
         """
         poll = self.poll
         return (
-            not self.polled and poll is not None and not poll.is_long and poll.answer_started_ms is None and (
+            not self.balancer_requests_watches and poll is not None and not poll.is_long
+            and poll.response_started_ms is None and (
                 self.clock.now() - poll.sent_ms >= AGENT_RESPONSE_TIMEOUT_MS))
 
     # Log lines and counters.
@@ -219,7 +221,7 @@
         now = self.clock.now()
         self.poll_count += 1
         poll = self.poll = Poll(self.poll_count, now, is_full=self.full_list_requested)
-        if not poll.is_full and now <= self.last_answer_started_ms + MAX_POLL_GAP_MS:
+        if not poll.is_full and now <= self.last_response_started_ms + MAX_POLL_GAP_MS:
             poll.is_long, poll.wait_ms = True, self.freshness.wait_ms(now)
             poll.continues_active_watch = self.freshness.is_watch_active(now)
         self._set_poll_timer(self._poll_timeout_ms(poll) / 1000.0, self._poll_timed_out)
@@ -274,15 +276,15 @@
             log("discovery: received data while no poll is in flight")
             self._poll_failed()
             return
-        if poll.answer_started_ms is None:
-            poll.answer_started_ms = self.clock.now()
+        if poll.response_started_ms is None:
+            poll.response_started_ms = self.clock.now()
         try:
             response = connection.reader.feed(data)
             if response is None:
-                self._start_answer_timer(poll)
+                self._start_response_timer(poll)
                 return
-            if poll.answer_timer is not None:
-                poll.answer_timer.cancel()
+            if poll.response_timer is not None:
+                poll.response_timer.cancel()
             if response.status == SERVICE_UNAVAILABLE and poll.continues_active_watch:
                 self._watch_ended(poll)
                 return
@@ -298,14 +300,15 @@
             return
         self._poll_succeeded(poll, event, keep_alive=response.keep_alive)
 
-    def _start_answer_timer(self, poll: Poll) -> None:
+    def _start_response_timer(self, poll: Poll) -> None:
         """Limit the time for the rest of an answer: the proxy is deemed notified of its changes already."""
-        if poll.answer_timer is None:
-            poll.answer_timer = self.loop.call_later(self.max_answer_duration_s, self._answer_timed_out, poll)
+        if poll.response_timer is None:
+            poll.response_timer = self.loop.call_later(
+                self.max_response_duration_s, self._response_timed_out, poll)
 
-    def _answer_timed_out(self, poll: Poll) -> None:
+    def _response_timed_out(self, poll: Poll) -> None:
         """Expire the list until the rest of a slow answer, or another answer in its place, has arrived."""
-        started_ms = poll.answer_started_ms
+        started_ms = poll.response_started_ms
         superseded = started_ms is not None and self.freshness.last_known_up_to_date_ms > started_ms
         if not self.expiry.expired and not superseded:
             self._expire(f"only part of an answer has arrived ({self._describe_poll(poll)})")
@@ -340,16 +343,16 @@
         self._start_next_poll()
 
     def _poll_succeeded(self, poll: Poll, event: api.EndpointsListed, *, keep_alive: bool) -> None:
-        answered_at_once = self.clock.now() - poll.sent_ms < 1000.0 * EMPTY_ANSWER_PAUSE_S
+        responded_at_once = self.clock.now() - poll.sent_ms < 1000.0 * EMPTY_RESPONSE_PAUSE_S
         is_first = not self.initialized
         self._count("polls answered")
-        self._log_answer(poll, event, is_first=is_first)
+        self._log_response(poll, event, is_first=is_first)
         self.poll, self.address_changed = None, False
         if poll.is_full:
             self.full_list_requested = False
         self.initialized = True
-        self.last_answer_started_ms = (
-            self.clock.now() if poll.answer_started_ms is None else poll.answer_started_ms)
+        self.last_response_started_ms = (
+            self.clock.now() if poll.response_started_ms is None else poll.response_started_ms)
         self.consecutive_failures = 0
         if not keep_alive:
             self._close_connection()
@@ -358,16 +361,16 @@
         self.notify(event)
         if self.poll is not None:
             return  # The balancer requested a poll on this list. The timer is already that poll's timeout.
-        if answered_at_once and not is_first and not event.endpoints:
+        if responded_at_once and not is_first and not event.endpoints:
             # Prevents a busy loop with an agent that does not wait for changes.
-            self._set_poll_timer(EMPTY_ANSWER_PAUSE_S, self._start_next_poll)
+            self._set_poll_timer(EMPTY_RESPONSE_PAUSE_S, self._start_next_poll)
         else:
             self._cancel_poll_timer()
             self._start_next_poll()
 
-    def _log_answer(self, poll: Poll, event: api.EndpointsListed, *, is_first: bool) -> None:
+    def _log_response(self, poll: Poll, event: api.EndpointsListed, *, is_first: bool) -> None:
         """Log the first answer, one that replaces an expired list, a large one and a late one."""
-        is_late = not poll.is_long and self.clock.now() - poll.sent_ms >= MIN_LOGGED_WAIT_MS
+        is_late = not poll.is_long and self.clock.now() - poll.sent_ms >= MIN_LOGGED_RESPONSE_TIME_MS
         if not (is_first or self.expiry.expired or is_late or len(event.endpoints) >= MIN_LOGGED_ENTRIES):
             return
         log(f"discovery: {'first answer' if is_first else 'answer'}, {len(self.directory.endpoint_ids)} "
@@ -391,7 +394,7 @@
         if self.poll is not None:
             log(f"discovery: {self._describe_poll(self.poll)}: timed out without a complete answer")
         self.initialized = self.may_have_missed_changes = True
-        self.poll, self.last_answer_started_ms = None, float("-inf")
+        self.poll, self.last_response_started_ms = None, float("-inf")
         self._close_connection()
         self._start_next_poll()
 
@@ -401,10 +404,10 @@
         `may_lack_changes`: the current list may lack changes that discovery had at the time of the poll.
         """
         self.may_have_missed_changes = self.may_have_missed_changes or may_lack_changes
-        self.poll, self.last_answer_started_ms = None, float("-inf")
+        self.poll, self.last_response_started_ms = None, float("-inf")
         self._cancel_poll_timer()
         self._close_connection()
-        if self.polled:
+        if self.balancer_requests_watches:
             self.watch_requested = self.full_list_requested = False
             self.notify(api.EndpointsListed(api.ListKind.FAILED))
             return
--- a/honeywharf/net/downstream.py
+++ b/honeywharf/net/downstream.py
@@ -127,7 +127,7 @@
         else:
             self.frontend.register_waiting(self)
 
-    def answer(
+    def send_response(
         self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
     ) -> None:
         """Write the response to the current request, and continue with the next request."""
@@ -322,16 +322,16 @@
         """Answer the request if the proxy does so itself, and pass it to the driver otherwise."""
         path = request.target.partition(b"?")[0]
         if path == READINESS_PATH and request.method == b"GET":
-            connection.answer(200 if self.ready() else SERVICE_UNAVAILABLE)
+            connection.send_response(200 if self.ready() else SERVICE_UNAVAILABLE)
         elif path != API_PATH and not path.startswith(API_PATH + b"/"):
-            connection.answer(404)
+            connection.send_response(404)
         elif self.driver.validation_error(request) is not None:
             connection.reject_and_close(400)
         elif self.refusing_requests or self.driver.at_capacity():
             # The request does not reach the decision module, so no backend has executed it.
-            connection.answer(SERVICE_UNAVAILABLE)
+            connection.send_response(SERVICE_UNAVAILABLE)
         elif not self.driver.accept_request(request, connection):
-            connection.answer(409)
+            connection.send_response(409)
 
     def ready(self) -> bool:
         """Whether the readiness endpoint reports that clients may send requests."""
--- a/honeywharf/net/driver.py
+++ b/honeywharf/net/driver.py
@@ -18,7 +18,7 @@
 
 # The final answer is due this long before the client's deadline. The client's time runs from when it sent the
 # request, so part of it has passed when the request is read, and a timer may fire late.
-ANSWER_MARGIN_MS = 10.0
+FINAL_RESPONSE_MARGIN_MS = 10.0
 BAD_GATEWAY = 502
 SERVICE_UNAVAILABLE = 503
 PROBE_TIMEOUT_MS = 250.0
@@ -29,7 +29,7 @@
 
     def __init__(
         self, settings: api.Settings, balancer: Balancer, pool: ConnectionPool, loop: Loop, clock: Clock,
-        load_report_names: tuple[str, ...] = (),
+        configured_report_names: tuple[str, ...] = (),
     ) -> None:
         self.settings, self.balancer, self.pool, self.loop, self.clock = (
             settings, balancer, pool, loop, clock)
@@ -37,7 +37,8 @@
         self.classes = {c.name: c for c in settings.classes}
         # The two names that each value of a load report may have: the one in the configuration file, and the
         # one that the settings map it to.
-        self.load_report_names = tuple(zip(load_report_names, settings.load_report_fields, strict=False))
+        self.load_report_names = tuple(
+            zip(configured_report_names, settings.load_report_fields, strict=False))
         self.probe_path = b"/stats" if self.load_report_names else b"/health/live"
         self.requests: dict[str, PendingRequest] = {}
         self.open_request_count = 0  # requests that are not finished yet
@@ -46,10 +47,10 @@
         self.processing_scheduled = self.processing = False
         self.counts: dict[str, int] = {}
 
-    def start(self, known_list: api.EndpointsListed) -> None:
+    def start(self, cached_list: api.EndpointsListed) -> None:
         """Start the balancer with the endpoint list that is known from the last run."""
         self._enqueue(api.Started())
-        self._enqueue(known_list)
+        self._enqueue(cached_list)
         self._process_events()
 
     # Input: requests, discovery events and the outcomes of calls.
@@ -82,7 +83,7 @@
         # No client waits longer than the deadline of its class; without this bound, a client that claims a
         # remaining time of years would stay in the table for as long.
         max_remaining_ms = self.classes[request.class_name].deadline_ms
-        remaining_ms = max(0.0, min(request.time_left_ms, max_remaining_ms) - ANSWER_MARGIN_MS)
+        remaining_ms = max(0.0, min(request.time_left_ms, max_remaining_ms) - FINAL_RESPONSE_MARGIN_MS)
         remaining_ms -= self.clock.now() - request.received_ms
         pending = PendingRequest(request, client, self.clock.now() + remaining_ms)
         self.requests[request.id] = pending
@@ -131,14 +132,14 @@
         """
         if not attempt.active:
             return
-        pending, now = attempt.pending, self.clock.now()
+        pending, now = attempt.pending_request, self.clock.now()
         attempt.active = False
         pending.active_attempt_count -= 1
         if attempt.timer is not None:
             attempt.timer.cancel()
         if outcome is api.Outcome.OK and response is not None and not pending.finished:
             self._finish(pending, "served")
-            pending.client.answer(200, response.body, content_type=response.content_type)
+            pending.client.send_response(200, response.body, content_type=response.content_type)
         self._count(outcome.value)
         self._enqueue(api.AttemptEnded(
             pending.request.id, attempt.number, outcome, now - attempt.started_ms, pending.finished,
@@ -173,7 +174,7 @@
         if not pending.finished:
             # The balancer has kept the request past its deadline, or raised an exception on it.
             self._finish(pending, "overdue")
-            pending.client.answer(BAD_GATEWAY)
+            pending.client.send_response(BAD_GATEWAY)
             self._enqueue(api.RequestAbandoned(pending.request.id), pending)
 
     def _time_out_attempt(self, attempt: Attempt) -> None:
@@ -237,7 +238,7 @@
             log(f"balancer failed on event {type(event).__name__}: {type(fault).__name__}: {fault}")
             if pending is not None and not pending.finished:
                 self._finish(pending, "broken")
-                pending.client.answer(BAD_GATEWAY)
+                pending.client.send_response(BAD_GATEWAY)
             if pending is not None and not isinstance(event, api.RequestAbandoned):
                 # The balancer must not keep any state of the request.
                 self._enqueue(api.RequestAbandoned(pending.request.id), pending)
@@ -247,9 +248,9 @@
         if isinstance(action, api.Send):
             self._start_attempt(action)
         elif isinstance(action, api.Refuse):
-            self._give_up(action, SERVICE_UNAVAILABLE, "refused", action.retry_after_ms)
+            self._send_error_response(action, SERVICE_UNAVAILABLE, "refused", action.retry_after_ms)
         elif isinstance(action, api.Fail):
-            self._give_up(action, BAD_GATEWAY, "failed")
+            self._send_error_response(action, BAD_GATEWAY, "failed")
         elif isinstance(action, api.SetTimer):
             delay_s = max(0.0, action.at_ms - self.clock.now()) / 1000.0
             self.loop.call_later(delay_s, self._timer_fired, action.at_ms, action.token)
@@ -317,7 +318,7 @@
         probe.timer = self.loop.call_later(PROBE_TIMEOUT_MS / 1000.0, self._time_out_probe, probe)
         self.pool.start(probe)
 
-    def _give_up(
+    def _send_error_response(
         self, action: api.Refuse | api.Fail, status: int, counter: str, retry_after_ms: float = 0.0,
     ) -> None:
         """Answer a request that the balancer refuses or fails, and count it with its reason."""
@@ -325,14 +326,14 @@
         if pending is not None and not pending.finished:
             self._finish(pending, counter)
             self._count(f"{counter} {action.reason.value}")
-            pending.client.answer(status, retry_after_ms=retry_after_ms)
+            pending.client.send_response(status, retry_after_ms=retry_after_ms)
 
     def fail_open_requests(self) -> None:
         """Answer all open requests with an error, because the process is about to be killed."""
         for pending in list(self.requests.values()):
             if not pending.finished:
                 self._finish(pending, "cut off")
-                pending.client.answer(BAD_GATEWAY)
+                pending.client.send_response(BAD_GATEWAY)
 
     # The table of requests.
 
--- a/tests/proxy_harness.py
+++ b/tests/proxy_harness.py
@@ -213,7 +213,7 @@
         max_sockets=max_sockets,
         cached_list={"generation": 1, "reset": True, "instances": entries},
         settings=codec.decode_settings(settings),
-        report_fields=tuple(settings["report"]["fields"]),
+        configured_report_names=tuple(settings["report"]["fields"]),
     )
 
 
@@ -319,7 +319,7 @@
     """Run a proxy with `entries` as its initial list, which the response to its first poll confirmed."""
     async with started_proxy(entries, **changes) as harness:
         harness.discovery.publish(1)
-        await wait_until(lambda: harness.proxy.watch.initialized)
+        await wait_until(lambda: harness.proxy.discovery_client.initialized)
         yield harness
 
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -83,7 +83,7 @@
         async with synced_proxy(
             [discovery_entry("b", 1)], discovery="ask", contract={"askEveryMs": 1000.0}
         ) as harness:
-            watch, notify = harness.proxy.watch, harness.proxy.watch.notify
+            watch, notify = harness.proxy.discovery_client, harness.proxy.discovery_client.notify
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
 
             def notify_and_fetch(event: api.EndpointsListed | api.ListExpiryChanged) -> None:
@@ -203,7 +203,7 @@
             assert await client.round_trip(readiness_check) == 503
             assert [e.kind for e in received_lists(harness)] == [api.ListKind.CACHED]
             harness.discovery.publish(1, discovery_entry("b", 1))
-            await wait_until(lambda: harness.proxy.watch.initialized)
+            await wait_until(lambda: harness.proxy.discovery_client.initialized)
             assert await client.round_trip(readiness_check) == 200
     run_test(main())
 
@@ -213,9 +213,9 @@
     async def main() -> None:
         new_discovery = await Discovery().start()
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
-            harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+            harness.proxy.discovery_client.change_address(("127.0.0.1", new_discovery.port))
             await with_timeout(new_discovery.request_received.wait())
-            timer = harness.proxy.watch.poll_timer
+            timer = harness.proxy.discovery_client.poll_timer
             assert timer is not None
             assert 3.0 < timer.when() - asyncio.get_running_loop().time() < 6.0
         await new_discovery.stop()
@@ -241,9 +241,10 @@
                 discovery.responses.put_nowait(make_response(503))
         harness = ProxyHarness(make_config(port, [], discovery=mode), discovery)
         await harness.start()
-        harness.proxy.watch.watch()
+        harness.proxy.discovery_client.watch()
         if discovery_state == "down":
-            await wait_until(lambda: mode == "ask" or harness.proxy.watch.consecutive_failures >= 2)
+            await wait_until(
+                lambda: mode == "ask" or harness.proxy.discovery_client.consecutive_failures >= 2)
         else:
             await with_timeout(discovery.request_received.wait())
         client = await Client.connect(harness.port)
@@ -300,12 +301,13 @@
         async with started_proxy([discovery_entry("b", 1)], discovery="ask") as harness:
             for number in (1, 2):
                 harness.discovery.responses.put_nowait(make_response(503))
-                harness.proxy.watch.watch()
+                harness.proxy.discovery_client.watch()
                 await wait_until(
                     lambda: sum(e.kind is api.ListKind.FAILED for e in received_lists(harness)) == number  # noqa: B023
                 )
-                assert harness.proxy.watch.poll_timer is None  # The next poll is up to the balancer.
-            assert not harness.proxy.watch.initialized
+                # The next poll is up to the balancer.
+                assert harness.proxy.discovery_client.poll_timer is None
+            assert not harness.proxy.discovery_client.initialized
     run_test(main())
 
 
@@ -314,14 +316,14 @@
     """Such a poll queues at discovery first, where a timeout derived from its wait could expire too early."""
     async def main() -> None:
         async with started_proxy([discovery_entry("b", 1)], discovery=mode) as harness:
-            harness.proxy.watch.watch()
+            harness.proxy.discovery_client.watch()
             harness.discovery.publish(1)
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             assert b"&wait_ms=4000 " in harness.discovery.request_lines[1]
             harness.discovery.responses.put_nowait(make_response(503))
             if mode == "ask":
                 await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
-                harness.proxy.watch.watch()  # as the balancer requests
+                harness.proxy.discovery_client.watch()  # as the balancer requests
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             assert b"&wait_ms=0 " in harness.discovery.request_lines[2]
     run_test(main())
@@ -341,9 +343,9 @@
         harness = ProxyHarness(make_config(port, entries, contract={"stopSendingWithinMs": 120.0}), discovery)
         await harness.start()
         # The backoff has reached its maximum.
-        await wait_until(lambda: harness.proxy.watch.consecutive_failures >= 8)
-        await wait_until(lambda: harness.proxy.watch.connect_task is None)
-        timer, now = harness.proxy.watch.poll_timer, asyncio.get_running_loop().time()
+        await wait_until(lambda: harness.proxy.discovery_client.consecutive_failures >= 8)
+        await wait_until(lambda: harness.proxy.discovery_client.connect_task is None)
+        timer, now = harness.proxy.discovery_client.poll_timer, asyncio.get_running_loop().time()
         assert timer is not None
         assert timer.when() - now <= 0.07
         await discovery.start(port)
--- a/tests/test_discovery_address_change.py
+++ b/tests/test_discovery_address_change.py
@@ -41,8 +41,8 @@
             client.send()
             await with_timeout(backend.request_received.wait())
             server = harness.proxy.driver.balancer.host_set.servers["b"]
-            harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
-            assert harness.proxy.watch.initialized  # The proxy stays ready.
+            harness.proxy.discovery_client.change_address(("127.0.0.1", new_discovery.port))
+            assert harness.proxy.discovery_client.initialized  # The proxy stays ready.
             await wait_until(lambda: len(new_discovery.request_lines) == 1)
             # A late answer on the old connection is ignored, and so is the loss of that connection below.
             harness.discovery.publish(50, discovery_entry("late", 9))
@@ -72,9 +72,9 @@
         first, last = await Discovery().start(), await Discovery().start()
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             for _ in range(5):  # Each change comes before the previous connection is established.
-                harness.proxy.watch.change_address(("127.0.0.1", first.port))
+                harness.proxy.discovery_client.change_address(("127.0.0.1", first.port))
                 await asyncio.sleep(0)
-                harness.proxy.watch.change_address(("127.0.0.1", last.port))
+                harness.proxy.discovery_client.change_address(("127.0.0.1", last.port))
                 await asyncio.sleep(0)
             await wait_until(lambda: len(last.request_lines) >= 1)
             last.publish(2, discovery_entry("e", 5), discovery_entry("b", 1, lifecycle="removed"))
@@ -94,9 +94,9 @@
         port = new_discovery.port
         await new_discovery.stop()
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
-            harness.proxy.watch.change_address(("127.0.0.1", port))
-            await wait_until(lambda: harness.proxy.watch.consecutive_failures >= 2)
-            assert harness.proxy.watch.initialized
+            harness.proxy.discovery_client.change_address(("127.0.0.1", port))
+            await wait_until(lambda: harness.proxy.discovery_client.consecutive_failures >= 2)
+            assert harness.proxy.discovery_client.initialized
             assert harness.proxy.pool.has_endpoint("b")
             await new_discovery.start(port)
             new_discovery.responses.put_nowait(make_response(503))
@@ -117,7 +117,7 @@
             client.send()
             await with_timeout(backend.request_received.wait())
             harness.proxy.drain()
-            harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+            harness.proxy.discovery_client.change_address(("127.0.0.1", new_discovery.port))
             new_discovery.publish(1, backend.discovery_entry("b"))
             await wait_for_watch(harness, new_discovery)
             for writer in list(backend.writers):
@@ -144,7 +144,7 @@
         ) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             if address_changes:
-                harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+                harness.proxy.discovery_client.change_address(("127.0.0.1", new_discovery.port))
             current_discovery = new_discovery if address_changes else harness.discovery
             earlier_polls = 0 if address_changes else 1
             await wait_until(lambda: len(current_discovery.request_lines) == earlier_polls + 1)
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -16,7 +16,7 @@
 from honeywharf.net import http1
 from honeywharf.net.calls import Call
 from honeywharf.net.clock import Clock
-from honeywharf.net.driver import ANSWER_MARGIN_MS, Driver
+from honeywharf.net.driver import FINAL_RESPONSE_MARGIN_MS, Driver
 
 Outcome = api.Outcome
 SETTINGS = api.Settings(
@@ -119,7 +119,7 @@
     def __init__(self) -> None:
         self.answers: list[tuple[int, bytes, float]] = []
 
-    def answer(
+    def send_response(
         self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
     ) -> None:
         self.answers.append((status, body, retry_after_ms))
@@ -279,7 +279,7 @@
     harness.loop.run_callbacks()
     (event,) = harness.events(api.RequestArrived)
     assert isinstance(event, api.RequestArrived)
-    assert event.remaining_ms == pytest.approx(700.0 - ANSWER_MARGIN_MS)
+    assert event.remaining_ms == pytest.approx(700.0 - FINAL_RESPONSE_MARGIN_MS)
 
 
 def test_a_request_that_the_balancer_keeps_fails_at_its_deadline(harness: DriverHarness) -> None:
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -32,15 +32,15 @@
 
 def seconds_until_expiry(harness: ProxyHarness) -> float:
     """Return the time until the current list expires, rounded because the loop's timers have whole ms."""
-    expiry_timer = harness.proxy.watch.expiry.timer
+    expiry_timer = harness.proxy.discovery_client.expiry.timer
     assert expiry_timer is not None
     return round(expiry_timer.when() - asyncio.get_running_loop().time(), 3)
 
 
 def set_time_until_expiry(harness: ProxyHarness, left_ms: float) -> None:
     """Make the current list expire `left_ms` from now."""
-    harness.proxy.watch.freshness.expires_ms = harness.proxy.clock.now() + left_ms
-    harness.proxy.watch.expiry.start_timer()
+    harness.proxy.discovery_client.freshness.expires_ms = harness.proxy.clock.now() + left_ms
+    harness.proxy.discovery_client.expiry.start_timer()
 
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
@@ -57,7 +57,7 @@
         draining, remaining = await Backend().start(), await Backend().start()
         entries = [draining.discovery_entry("draining"), remaining.discovery_entry("remaining")]
         async with started_proxy(entries, discovery=mode) as harness:
-            harness.proxy.watch.watch()
+            harness.proxy.discovery_client.watch()
             await with_timeout(harness.discovery.request_received.wait())
             client = await Client.connect(harness.port)
             assert await client.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 503
@@ -65,7 +65,7 @@
                 client.send()
                 assert await client.read_status() == 503
             if silent:
-                harness.proxy.watch._poll_timed_out()
+                harness.proxy.discovery_client._poll_timed_out()
                 await wait_until(lambda: len(harness.discovery.request_lines) == 2)
                 assert await client.round_trip(b"GET /health/ready HTTP/1.1\r\n\r\n") == 200
                 for _ in range(12):
@@ -101,18 +101,18 @@
         report = {"fields": [], "how": "silent"}
         async with started_proxy(entries, discovery=mode, contract=contract, report=report) as harness:
             harness.discovery.publish(1)
-            harness.proxy.watch.watch()
+            harness.proxy.discovery_client.watch()
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             initial_time_left_s = seconds_until_expiry(harness)
             assert initial_time_left_s <= 6.0
-            harness.proxy.watch._poll_timed_out()  # From here on, the list may lack changes.
+            harness.proxy.discovery_client._poll_timed_out()  # From here on, the list may lack changes.
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
             # This response answers the poll that timed out.
             harness.discovery.responses.put_nowait(make_response())
             for _ in range(3):  # None of these polls brings a list.
                 poll_count = len(harness.discovery.request_lines)
                 if failure == "timed out":
-                    harness.proxy.watch._poll_timed_out()
+                    harness.proxy.discovery_client._poll_timed_out()
                     harness.discovery.responses.put_nowait(make_response())
                 elif failure == "connection lost":
                     for writer in list(harness.discovery.connections):
@@ -123,25 +123,26 @@
                         make_response(503 if failure == "rejected" else 200))
                 if mode == "ask" and failure != "timed out":
                     await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
-                    harness.proxy.watch.watch()
-                elif mode == "push" and harness.proxy.watch.poll_timer is not None and failure != "timed out":
-                    await wait_until(lambda: harness.proxy.watch.poll is None)
-                    harness.proxy.watch._start_next_poll()
+                    harness.proxy.discovery_client.watch()
+                elif (mode == "push" and harness.proxy.discovery_client.poll_timer is not None
+                        and failure != "timed out"):
+                    await wait_until(lambda: harness.proxy.discovery_client.poll is None)
+                    harness.proxy.discovery_client._start_next_poll()
                 await wait_until(lambda: len(harness.discovery.request_lines) > poll_count)  # noqa: B023
                 assert seconds_until_expiry(harness) <= initial_time_left_s
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
             sent_count = len(draining.requests) + len(remaining.requests)
-            harness.proxy.watch._on_expiry_due()
+            harness.proxy.discovery_client._on_expiry_due()
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 503
             assert len(draining.requests) + len(remaining.requests) == sent_count
             harness.discovery.publish(1)
             if mode == "push":
-                harness.proxy.watch._start_next_poll()
-            await wait_until(lambda: not harness.proxy.watch.expiry.expired)
+                harness.proxy.discovery_client._start_next_poll()
+            await wait_until(lambda: not harness.proxy.discovery_client.expiry.expired)
             client.send()
             assert await client.read_status() == 200
         for backend in (draining, remaining):
@@ -157,7 +158,7 @@
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
-            watch = harness.proxy.watch
+            watch = harness.proxy.discovery_client
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             watch._poll_timed_out()
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
@@ -188,7 +189,7 @@
             client = await Client.connect(harness.port)
             client.send("pay")
             await wait_until(lambda: harness.proxy.pool.handshakes == 1)
-            harness.proxy.watch._on_expiry_due()
+            harness.proxy.discovery_client._on_expiry_due()
             assert await client.read_status() == 503
             gate.connections_allowed.set()
             await wait_until(lambda: not harness.proxy.pool.connect_tasks)
@@ -207,7 +208,7 @@
         )
         await harness.start()
         discovery.publish(1)
-        harness.proxy.watch.watch()
+        harness.proxy.discovery_client.watch()
         await wait_until(lambda: len(discovery.request_lines) == 2)
         assert b"&wait_ms=4000 " in discovery.request_lines[1]
         set_time_until_expiry(harness, 3000.0)
@@ -216,10 +217,10 @@
         assert seconds_until_expiry(harness) > 4.0
         await discovery.stop()
         set_time_until_expiry(harness, 3000.0)
-        harness.proxy.watch.watch()
-        await wait_until(lambda: harness.proxy.watch.connect_task is None)
+        harness.proxy.discovery_client.watch()
+        await wait_until(lambda: harness.proxy.discovery_client.connect_task is None)
         assert seconds_until_expiry(harness) > 4.0  # Discovery is down and learns of no changes.
-        harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
+        harness.proxy.discovery_client.change_address(("127.0.0.1", new_discovery.port))
         assert seconds_until_expiry(harness) <= 4.0
         assert harness.task is not None
         harness.task.cancel()
@@ -244,15 +245,15 @@
         # After a failed poll, the balancer pauses for up to a fifth of this interval.
         poll_interval = {"askEveryMs": 1e6}
         async with started_proxy(entries, discovery=mode, contract=poll_interval) as harness:
-            harness.proxy.watch.watch()
+            harness.proxy.discovery_client.watch()
             if is_long:
                 harness.discovery.publish(1)
             poll_count = 2 if is_long else 1
             await wait_until(lambda: len(harness.discovery.request_lines) == poll_count)
-            timer, now = harness.proxy.watch.poll_timer, asyncio.get_running_loop().time()
+            timer, now = harness.proxy.discovery_client.poll_timer, asyncio.get_running_loop().time()
             assert timer is not None
             assert timer.when() - now < (6.0 if is_long else 4.0)
-            harness.proxy.watch._poll_timed_out()
+            harness.proxy.discovery_client._poll_timed_out()
             await wait_until(lambda: len(harness.discovery.request_lines) == poll_count + 1)
             assert harness.discovery.request_lines[poll_count].startswith(
                 b"GET /registry/instances?after=1&wait_ms=0 "
@@ -287,11 +288,11 @@
             discovery,
         )
         await harness.start()
-        watch = harness.proxy.watch
+        watch = harness.proxy.discovery_client
 
         def handle_late(now_ms: float, event: api.Event) -> list[api.Action]:
             if isinstance(event, api.EndpointsListed):
-                watch.last_answer_started_ms -= 200.0  # as if the event loop had been busy that long
+                watch.last_response_started_ms -= 200.0  # as if the event loop had been busy that long
             return []
 
         harness.proxy.driver.balancer.handle = handle_late  # type: ignore[method-assign]
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -110,7 +110,7 @@
 
 def seconds_to_list_expiry(harness: ProxyHarness) -> float:
     """Return the time in seconds until the current endpoint list expires."""
-    return (harness.proxy.watch.freshness.expires_ms - harness.proxy.clock.now()) / 1000.0
+    return (harness.proxy.discovery_client.freshness.expires_ms - harness.proxy.clock.now()) / 1000.0
 
 
 @asynccontextmanager
@@ -122,10 +122,10 @@
     async with started_proxy(
         [discovery_entry("b", 1)], discovery=mode, contract={"askEveryMs": 1e6}
     ) as harness:
-        harness.proxy.watch.watch()
+        harness.proxy.discovery_client.watch()
         await wait_until(lambda: len(harness.discovery.request_lines) == 1)
-        assert harness.proxy.watch.poll is not None
-        harness.proxy.watch.poll.sent_ms -= TRANSIT_MS
+        assert harness.proxy.discovery_client.poll is not None
+        harness.proxy.discovery_client.poll.sent_ms -= TRANSIT_MS
         harness.discovery.publish(2, discovery_entry("c", 2))
         await wait_until(lambda: len(harness.discovery.request_lines) == 2)
         yield harness
@@ -150,10 +150,10 @@
         async with proxy_after_delayed_response("ask") as harness:
             # The second poll asks for a wait, because the proxy assumes that the watch continues.
             assert b"&wait_ms=0 " not in harness.discovery.request_lines[1]
-            expires_ms = harness.proxy.watch.freshness.expires_ms
+            expires_ms = harness.proxy.discovery_client.freshness.expires_ms
             harness.discovery.responses.put_nowait(make_response(503))
-            await wait_until(lambda: harness.proxy.watch.poll is None)
-            assert harness.proxy.watch.freshness.expires_ms == expires_ms
+            await wait_until(lambda: harness.proxy.discovery_client.poll is None)
+            assert harness.proxy.discovery_client.freshness.expires_ms == expires_ms
     run_test(main())
 
 
@@ -177,7 +177,7 @@
             }
             response = make_response(200, json.dumps(changes).encode())
             harness.discovery.responses.put_nowait(response[:-20])
-            await wait_until(lambda: harness.proxy.watch.expiry.expired)
+            await wait_until(lambda: harness.proxy.discovery_client.expiry.expired)
             client = await Client.connect(harness.port)
             for _ in range(12):
                 client.send()
@@ -189,9 +189,9 @@
             else:
                 writer.transport.abort()
                 await wait_until(lambda: len(harness.discovery.request_lines) == 3)
-                assert harness.proxy.watch.expiry.expired
+                assert harness.proxy.discovery_client.expiry.expired
                 harness.discovery.responses.put_nowait(response)
-            await wait_until(lambda: not harness.proxy.watch.expiry.expired)
+            await wait_until(lambda: not harness.proxy.discovery_client.expiry.expired)
             for _ in range(12):
                 client.send()
                 assert await client.read_status() == 200
@@ -209,7 +209,7 @@
     """
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)], contract={"stopSendingWithinMs": 1e6}) as harness:
-            watch = harness.proxy.watch
+            watch = harness.proxy.discovery_client
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             watch._poll_timed_out()
             await wait_until(lambda: len(harness.discovery.request_lines) == 3)
@@ -218,7 +218,7 @@
             harness.discovery.responses.put_nowait(b"")
             harness.discovery.responses.put_nowait(b"HTTP/1.1 200 OK\r\n")
             await wait_until(lambda: (
-                watch.poll is not None and watch.poll.answer_started_ms is not None))
+                watch.poll is not None and watch.poll.response_started_ms is not None))
             assert watch.poll is not None
             watch.poll.sent_ms -= 1000.0
             watch._on_expiry_due()
@@ -235,7 +235,7 @@
     """
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)], discovery="ask") as harness:
-            watch = harness.proxy.watch
+            watch = harness.proxy.discovery_client
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
             harness.discovery.responses.put_nowait(make_response(503))  # Ends an active watch.
             await wait_until(lambda: watch.poll is None)
--- a/tests/test_slow_start_across_proxies.py
+++ b/tests/test_slow_start_across_proxies.py
@@ -41,8 +41,9 @@
 
 def use_clock(harness: ProxyHarness, clock: Clock) -> None:
     proxy = harness.proxy
-    proxy.clock = proxy.driver.clock = proxy.pool.clock = proxy.frontend.clock = proxy.watch.clock = clock
-    proxy.watch.expiry.clock = clock
+    proxy.clock = proxy.driver.clock = proxy.pool.clock = proxy.frontend.clock = clock
+    proxy.discovery_client.clock = clock
+    proxy.discovery_client.expiry.clock = clock
 
 
 @pytest.mark.parametrize("restarted_proxies", [0, PROXY_COUNT * 7 // 10])
@@ -80,7 +81,7 @@
             use_clock(harnesses[-1], clock)
             discovery.publish(1, *make_entries(0.0), reset=True)
             await harnesses[-1].start()
-            await wait_until(lambda: harnesses[-1].proxy.watch.initialized)
+            await wait_until(lambda: harnesses[-1].proxy.discovery_client.initialized)
             clients.append(await Client.connect(harnesses[-1].port))
 
         async def run_traffic(duration_s: float, first_client: int) -> int:
