--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -25,9 +25,10 @@
 from honeywharf.net.log import log
 
 # The file descriptors are divided between the proxy itself, the connections to backends, and the clients.
-# Clients with open requests hold at most a third, because each of these requests needs a connection to a
-# backend; the rest is for idle clients. The proxy itself needs some for the interpreter, the event loop, the
-# listener and discovery, and some more to accept connections while others are closing.
+# A request that is being served holds one descriptor for its client and one for its backend, so there can be
+# about as many such requests as connections to backends. The remaining descriptors are for idle clients. The
+# proxy itself needs some for the interpreter, the event loop, the listener and discovery, and some more to
+# accept connections while others are closing.
 OWN_DESCRIPTOR_SHARE = 1 / 10
 MIN_OWN_DESCRIPTORS = 20
 UPSTREAM_DESCRIPTOR_SHARE = 2 / 5
@@ -39,10 +40,10 @@
 # A drain lasts for the longest deadline of all classes, but at most for this time. SIGKILL follows no earlier
 # than 0.7 s after its end.
 MAX_DRAIN_MS = 3000.0
-# This long after the end of the drain, the proxy answers the requests that are still open.
+# This long after the end of the drain, the proxy sends error responses to the requests that are still open.
 FAIL_AFTER_DRAIN_S = 0.45
-# The process ends this long after those answers, or later if clients are slow to read them, but no later than
-# MAX_FLUSH_MS after them.
+# The process ends this long after those responses, or later if clients are slow to read them, but no later
+# than MAX_FLUSH_MS after them.
 FLUSH_S = 0.05
 MAX_FLUSH_MS = 150.0
 # A restarted proxy must be ready within 10 s, even on a busy machine, so it does not wait longer for a list.
@@ -69,8 +70,8 @@
             balancer_requests_watches=configuration.settings.polled_discovery,
             rules=configuration.settings.rules)
         self.driver.discovery = self.discovery_client
-        # The proxy is not ready until discovery has answered, because until then it sends nothing to the
-        # endpoints of the cached list. After a timeout it becomes ready all the same, and the decision module
+        # The proxy is not ready until discovery has responded, because until then it sends nothing to the
+        # endpoints of the cached list. After a timeout it becomes ready all the same, and the balancer
         # refuses the requests that it cannot send.
         self.frontend = Frontend(
             loop, self.clock, self.driver, available - max_upstream,
@@ -86,7 +87,7 @@
             self.loop.add_signal_handler(signal_number, self.drain)
         self.loop.add_signal_handler(signal.SIGHUP, self.reload)
         cached_list = self.directory.apply(self.configuration.cached_list, api.ListKind.CACHED)
-        # The cached list is expired until discovery has answered.
+        # The cached list is expired until discovery has responded.
         self.driver.start(replace(cached_list, expires_at_ms=float("-inf")))
         host, port = await self.frontend.listen(self.configuration.listen)
         log(f"{self.configuration.name} listens on {host}:{port}")
@@ -116,7 +117,10 @@
         self.discovery_client.change_address(configuration.discovery)
 
     def drain(self) -> None:
-        """Stop serving without losing a request; DEPLOY and PROTOCOL describe planned restarts."""
+        """Start draining, as for a planned restart (see the documents DEPLOY and PROTOCOL).
+
+        Requests that are still open some time after the end of the drain get an error response.
+        """
         if self.frontend.draining:
             return
         connections = len(self.frontend.connections)
@@ -132,7 +136,7 @@
         self.loop.call_later(FIRST_REQUEST_GRACE_S, self.frontend.close_idle)
 
     def _fail_open_requests(self) -> None:
-        """Answer the open requests before the process is killed, and refuse those that still arrive."""
+        """Send error responses to the open requests before the process exits, and refuse new requests."""
         self.frontend.refusing_requests = True
         self.driver.fail_open_requests()
         self.loop.call_later(FLUSH_S, self._stop_when_flushed, self.clock.now() + MAX_FLUSH_MS)
@@ -167,7 +171,10 @@
 
 
 async def serve(configuration: config.Config, early_signals: list[int]) -> None:
-    """Run one proxy in the running event loop. `early_signals`: the SIGHUP signals received before."""
+    """Run one proxy in the running event loop.
+
+    `early_signals` holds the SIGHUP signals that were received before the event loop could handle them.
+    """
     loop = asyncio.get_running_loop()
 
     def log_unhandled_error(_: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
--- a/honeywharf/net/attempts.py
+++ b/honeywharf/net/attempts.py
@@ -42,7 +42,7 @@
         self.attempts: list[Attempt | None] = []  # None for an attempt that was not started
         self.active_attempt_count = 0
         self.queued_event_count = 0  # events of the request that are not processed yet
-        self.finished = False  # it needs no further answer: it is answered, or its client is gone
+        self.finished = False  # its response has been sent, or its client has disconnected
         self.timer: Timer | None = None
 
 
@@ -68,10 +68,11 @@
     def may_be_sent(self) -> bool:
         """Return whether the client is still connected and the latest time to send has not passed.
 
-        The client may have disconnected without the event loop having read it: the close waits in the socket
-        while the loop is busy, or behind a pipelined request or the outcome that led to this attempt. The
-        latest time to send prevents retries that go out only after the window in which backends drop
-        duplicates, because their connection was slow to connect.
+        The client may have disconnected without the event loop having read the EOF from its socket yet: the
+        loop is busy, or a pipelined request precedes the EOF, or this attempt results from the outcome of an
+        earlier one that the loop processed before it read the client's socket. The latest time to send
+        prevents a retry that waited for a slow connection from being sent after the window in which backends
+        drop duplicates.
         """
         if self.owner.clock.now() > self.latest_send_ms:
             return False
--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -33,8 +33,8 @@
 
 Outcome = api.Outcome
 # The outcome of a response that is malformed, incomplete or too large. The backend is up and has executed the
-# request. RESET would be wrong, because the decision module takes a broken connection for the end of the
-# backend's process.
+# request. RESET would be wrong, because the balancer takes a broken connection for the end of the backend's
+# process.
 UNREADABLE_RESPONSE_OUTCOME = Outcome.ERROR
 
 
@@ -129,7 +129,10 @@
         self.file_descriptor = self.transport.get_extra_info("socket").fileno()
 
     def pause_writing(self) -> None:
-        """Record that part of the request is not written: if the connection is lost now, it never ran."""
+        """Record that part of the request is not written yet.
+
+        If the connection is lost now, the backend cannot have executed the request.
+        """
         self.has_unwritten_data = True
 
     def resume_writing(self) -> None:
--- a/honeywharf/net/calls.py
+++ b/honeywharf/net/calls.py
@@ -13,12 +13,12 @@
 
 
 class Client(Protocol):
-    """The client of a request, which receives at most one final answer."""
+    """The client of a request, which receives at most one final response."""
 
     def send_response(
         self, status: int, body: bytes = b"", *, retry_after_ms: float = 0.0, content_type: bytes = b"",
     ) -> None:
-        """Write the final answer."""
+        """Write the final response."""
 
     def disconnected(self) -> bool:
         """Return whether the client has closed the connection or its sending side.
@@ -61,7 +61,7 @@
     """Sends calls to the backends."""
 
     def has_endpoint(self, endpoint: str) -> bool:
-        """Return whether the endpoint is known from an endpoint list."""
+        """Return whether the endpoint is in the current endpoint list."""
 
     def start(self, call: Call) -> None:
         """Start the call; `complete` is called later, never from within this method."""
--- a/honeywharf/net/config.py
+++ b/honeywharf/net/config.py
@@ -24,7 +24,8 @@
 
     `max_sockets`: how many file descriptors the proxy may open.
     `cached_list`: the endpoint list of the last run, in the form in which discovery sends it.
-    `configured_report_names`: the names of the values in a load report, as the settings give them.
+    `configured_report_names`: the names of the values in a load report, as they stand in the configuration
+    file. `settings.load_report_fields` has the names that they are mapped to.
     """
 
     name: str
--- a/honeywharf/net/connection_pool.py
+++ b/honeywharf/net/connection_pool.py
@@ -196,11 +196,12 @@
     def _connect_for_waiting_calls(self, backend: Backend) -> None:
         """Open connections until each waiting call has a pending connection that is not slow.
 
-        Another connection is thereby opened beside each slow one. Whichever is established first serves the
-        call that has waited longest, and the others stay in the pool.
+        For each slow connection, an additional one is thereby opened. Whichever is established first serves
+        the call that has waited longest, and the others stay in the pool.
         """
         while sum(not pending.slow for pending in backend.pending_connections) < len(backend.waiting_calls):
-            # A connection beside a slow one does not evict an idle connection.
+            # A connection is additional if each waiting call has a pending one already, some of them slow. An
+            # additional connection does not evict an idle one.
             is_additional = len(backend.pending_connections) >= len(backend.waiting_calls)
             if self.total_connections >= self.max_connections and (is_additional or not self._evict_idle()):
                 # The outcome is NOT_SENT: the proxy's connection limit is not the backend's fault.
@@ -270,8 +271,9 @@
     def _connect_failed(self, pending: PendingConnection, backend: Backend, outcome: api.Outcome) -> None:
         """Handle a connection that could not be established.
 
-        A connection that fails at once ends a waiting call and is not retried for it. Otherwise the proxy
-        would connect again and again to a backend that refuses connections while an earlier one is slow.
+        A connect error, other than a timeout or the lack of a local resource, ends one waiting call.
+        Otherwise the proxy would connect again and again for this call, if the backend refuses connections
+        while another connection to it is still pending and slow.
         """
         if outcome is api.Outcome.CONNECT_FAILED:
             if backend.waiting_calls:
--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -1,7 +1,17 @@
 """The client of service discovery: it long-polls the endpoint list and tracks when the list expires.
 
-With polled discovery, the balancer requests each watch, and is notified when a poll fails. With pushed lists,
-a discovery agent answers the polls, and the client sends and retries them by itself.
+A poll is one HTTP request to discovery. A long poll waits at discovery until there is a change, at most for
+`wait_ms`. Short polls, and polls for the full list, do not wait for changes, but may queue at discovery. A
+watch is the chain of long polls that discovery keeps open: it continues with each long poll that is sent soon
+enough after the last response.
+
+A fixed time after a change, at the propagation deadline of the change, the proxy has to obey the change,
+whether or not a response with it has arrived. A list that may lack such a change has expired, and nothing is
+sent on it. See `honeywharf.policy.list_freshness`.
+
+The client polls in two ways. With polled discovery, the balancer requests each watch, is notified when a poll
+fails, and decides when to poll again. Where lists are pushed, they are pushed to a discovery agent, which
+responds to the polls; the client starts to poll, and retries after a failure, by itself.
 """
 
 from __future__ import annotations
@@ -25,20 +35,20 @@
 
 INSTANCES_PATH = "/registry/instances"
 CONNECT_TIMEOUT_MS = 1000.0
-# A discovery agent counts as down if it leaves a short poll without a response for this long. An agent that
-# is up starts its answer within milliseconds.
+# A discovery agent counts as down if it does not respond for this long to a poll that does not wait for
+# changes. An agent that is up starts its response within milliseconds.
 AGENT_RESPONSE_TIMEOUT_MS = 250.0
-# A short poll, which does not wait for changes, queues at discovery behind those of all other proxies. After
-# a reload that takes seconds. With a shorter timeout, a proxy would go back to the end of the queue again and
-# again, and its list would stay stale.
+# A short poll, which does not wait for changes, queues at discovery behind those of all other proxies. When
+# all proxies have just reloaded their configuration, this takes seconds. With a shorter timeout, a proxy
+# would go back to the end of the queue again and again, and its list would stay stale.
 SHORT_POLL_TIMEOUT_MS = 3500.0
 # Discovery takes longer for full lists, both for the proxy's own and for those that are queued before it.
 FULL_LIST_TIMEOUT_MS = 5000.0
-# The pause before the next poll after an answer that came at once and had no changes.
+# The pause before the next poll after a response that came at once and had no changes.
 EMPTY_RESPONSE_PAUSE_S = 0.05
-# The longest time between the first and the last byte of an answer, as a fraction of the drain grace period.
-# The proxy is deemed notified of the changes in an answer as soon as discovery writes it. The rest of the
-# grace period is left for calls that are being sent.
+# The longest time between the first and the last byte of a response, as a fraction of the drain grace period.
+# The propagation deadline of the changes in a response comes when discovery writes the response, and not when
+# the proxy has read all of it. The rest of the grace period is left for calls that are being sent.
 MAX_RESPONSE_FRACTION_OF_DRAIN_GRACE = 0.5
 # The first retry comes after a random time in this range. Both bounds double with each further failure.
 INITIAL_BACKOFF_RANGE_S = (0.02, 0.1)
@@ -47,7 +57,7 @@
 # The longest backoff where lists are pushed, as a fraction of the drain grace period. The rest of the grace
 # period is left for the poll itself.
 MAX_BACKOFF_FRACTION_OF_DRAIN_GRACE = 0.5
-# An answer is logged if it has this many entries, or if its poll spent this long in discovery's queue.
+# A response is logged if it has this many entries, or if a poll other than a long poll took this long.
 MIN_LOGGED_ENTRIES = 20
 MIN_LOGGED_RESPONSE_TIME_MS = 1000.0
 OK = 200
@@ -62,12 +72,12 @@
     sent_ms: float
     is_full: bool = False  # requests the full list
     # A long poll continues a watch, as far as the proxy knows, and waits for changes. Other polls may queue
-    # at discovery before they are answered.
+    # at discovery before it responds.
     is_long: bool = False
     wait_ms: int = 0
     continues_active_watch: bool = False  # certain, not only expected, to continue the watch
     response_started_ms: float | None = None
-    response_timer: asyncio.TimerHandle | None = None  # fires if the answer is incomplete for too long
+    response_timer: asyncio.TimerHandle | None = None  # fires if the response is incomplete for too long
 
 
 class DiscoveryClient:
@@ -86,17 +96,17 @@
         self.loop, self.clock, self.address, self.directory = loop, clock, address, directory
         self.notify = notify
         self.balancer_requests_watches = balancer_requests_watches
-        # Where lists are pushed and the agent was down, the proxy is deemed notified of everything that the
-        # agent has as soon as the agent returns, whether or not the proxy has polled again. With a longer
-        # backoff, it would send requests to draining servers after the grace period.
+        # Where lists are pushed and the agent was down, the propagation deadline of all changes that the
+        # agent has comes as soon as the agent returns, whether or not the proxy has polled again. With a
+        # longer backoff, the proxy would send requests to draining servers after the grace period.
         self.max_backoff_s = MAX_BACKOFF_S if balancer_requests_watches else min(
             MAX_BACKOFF_S,
             max(INITIAL_BACKOFF_RANGE_S[0], MAX_BACKOFF_FRACTION_OF_DRAIN_GRACE * drain_grace_ms / 1000.0))
         self.max_response_duration_s = MAX_RESPONSE_FRACTION_OF_DRAIN_GRACE * drain_grace_ms / 1000.0
         self.watch_requested = False
         self.full_list_requested = False
-        self.address_changed = False  # true until the new address has answered
-        self.initialized = False  # true once a poll has been answered or has timed out
+        self.address_changed = False  # true until discovery has responded at the new address
+        self.initialized = False  # true once a poll has succeeded or timed out
         self.last_response_started_ms = float("-inf")  # -inf if the last poll failed or timed out
         self.freshness = ListFreshness(rules.poll_interval_ms if balancer_requests_watches else 0.0)
         self.expiry = ListExpiry(loop, clock, self.freshness, notify, self._on_expiry_due)
@@ -116,8 +126,9 @@
     def start(self) -> None:
         """Expire the list of the last run, whose age is unknown; where lists are pushed, start to poll.
 
-        The proxy is deemed notified of a change made while it was down at a time that depends on when the
-        change was made, not on when the proxy started. So nothing is sent until discovery has answered.
+        The propagation deadline of a change depends on when the change was made, and not on when the proxy
+        started, so the deadline of a change made while the proxy was down may have passed. Nothing is sent
+        until discovery has responded.
         """
         self._expire("its age is unknown after a restart")
         if not self.balancer_requests_watches:
@@ -159,14 +170,14 @@
     # The expiry of the current list.
 
     def _on_expiry_due(self) -> None:
-        """Expire the list, because the proxy is deemed notified of changes that the list may lack.
+        """Expire the list: the propagation deadline of changes that it may lack has come.
 
         If the agent is down, keep the list as current instead: the agent learns of no changes meanwhile.
         """
         if self._is_agent_down():
             self.expiry.confirm_current_at_expiry()
         else:
-            self._expire("the proxy is deemed notified of changes that it may lack")
+            self._expire("it was not confirmed as current in time")
 
     def _expire(self, reason: str) -> None:
         """Log and count the expiry, and let the balancer send nothing until the next list arrives."""
@@ -175,9 +186,10 @@
         self.expiry.expire()
 
     def _is_agent_down(self) -> bool:
-        """Return whether lists are pushed, and the agent has not responded to a short poll in time.
+        """Return whether lists are pushed, and the agent has not responded in time.
 
-        An agent that is down can accept connections and polls, but learns of no changes.
+        This shows only on a poll that does not wait for changes. An agent that is down can accept connections
+        and polls, but learns of no changes.
         """
         poll = self.poll
         return (
@@ -188,7 +200,7 @@
     # Log lines and counters.
 
     def list_summary(self) -> str:
-        """Describe the current list and the poll in flight for the log."""
+        """Describe the current list and the poll in flight for the log. An overdue list has expired."""
         age_s = (self.clock.now() - self.freshness.last_known_up_to_date_ms) / 1000.0
         age = f"{age_s:.2f} s" if age_s < float("inf") else "unknown"
         poll = f" {self._describe_poll(self.poll)}" if self.poll is not None else ""
@@ -196,6 +208,7 @@
                 f"age={age} overdue={'yes' if self.expiry.expired else 'no'}{poll}")
 
     def _describe_poll(self, poll: Poll) -> str:
+        """Describe a poll: its number, the time since it was sent, and how long it may wait for changes."""
         waits = f" of which {poll.wait_ms} ms may wait" if poll.is_long else ""
         return f"poll {poll.number} for {self.clock.now() - poll.sent_ms:.0f} ms{waits}"
 
@@ -267,7 +280,7 @@
             self.expiry.confirm_current()
         self._poll_failed(may_lack_changes=False)
 
-    # Answers and failures.
+    # Responses and failures.
 
     def data_received(self, connection: DiscoveryConnection, data: bytes) -> None:
         """Read the response; once it is complete, apply it, notify the balancer and send the next poll."""
@@ -301,17 +314,17 @@
         self._poll_succeeded(poll, event, keep_alive=response.keep_alive)
 
     def _start_response_timer(self, poll: Poll) -> None:
-        """Limit the time for the rest of an answer: the proxy is deemed notified of its changes already."""
+        """Limit the time for the rest of a response: the propagation deadline of its changes has come."""
         if poll.response_timer is None:
             poll.response_timer = self.loop.call_later(
                 self.max_response_duration_s, self._response_timed_out, poll)
 
     def _response_timed_out(self, poll: Poll) -> None:
-        """Expire the list until the rest of a slow answer, or another answer in its place, has arrived."""
+        """Expire the list until the rest of a slow response, or another response instead, has arrived."""
         started_ms = poll.response_started_ms
         superseded = started_ms is not None and self.freshness.last_known_up_to_date_ms > started_ms
         if not self.expiry.expired and not superseded:
-            self._expire(f"only part of an answer has arrived ({self._describe_poll(poll)})")
+            self._expire(f"only part of a response has arrived ({self._describe_poll(poll)})")
 
     def _apply(self, response: http1.Response, poll: Poll) -> api.EndpointsListed:
         """Apply the list in a response to the directory; raise ValueError if the response has none."""
@@ -328,7 +341,7 @@
     def _watch_ended(self, poll: Poll) -> None:
         """Handle a 503 that ends an active watch.
 
-        Discovery would have answered with any earlier change, so the list has been current until now.
+        Discovery would have sent any earlier change in a response, so the list has been current until now.
         """
         self._count("watches ended")
         log(f"discovery: {self._describe_poll(poll)}: discovery ended the watch")
@@ -369,11 +382,11 @@
             self._start_next_poll()
 
     def _log_response(self, poll: Poll, event: api.EndpointsListed, *, is_first: bool) -> None:
-        """Log the first answer, one that replaces an expired list, a large one and a late one."""
+        """Log the first response, one that replaces an expired list, a large one and a late one."""
         is_late = not poll.is_long and self.clock.now() - poll.sent_ms >= MIN_LOGGED_RESPONSE_TIME_MS
         if not (is_first or self.expiry.expired or is_late or len(event.endpoints) >= MIN_LOGGED_ENTRIES):
             return
-        log(f"discovery: {'first answer' if is_first else 'answer'}, {len(self.directory.endpoint_ids)} "
+        log(f"discovery: {'first response' if is_first else 'response'}, {len(self.directory.endpoint_ids)} "
             f"endpoints listed: {self._describe_poll(poll)}, {event.summary()}")
 
     def connection_lost(self) -> None:
@@ -388,11 +401,11 @@
         """Poll again at once, and let the proxy become ready even if it has no current list.
 
         The new poll does not wait for changes, and skips the backoff that the client or the balancer adds
-        after a failed poll. Otherwise the list could expire before a new answer arrives.
+        after a failed poll. Otherwise the list could expire before a new response arrives.
         """
         self._count("polls timed out")
         if self.poll is not None:
-            log(f"discovery: {self._describe_poll(self.poll)}: timed out without a complete answer")
+            log(f"discovery: {self._describe_poll(self.poll)}: timed out without a complete response")
         self.initialized = self.may_have_missed_changes = True
         self.poll, self.last_response_started_ms = None, float("-inf")
         self._close_connection()
--- a/honeywharf/net/discovery_connection.py
+++ b/honeywharf/net/discovery_connection.py
@@ -1,4 +1,4 @@
-"""A connection to service discovery, on which its client sends polls and receives the answers."""
+"""A connection to service discovery, on which its client sends polls and receives the responses."""
 
 from __future__ import annotations
 
--- a/honeywharf/net/downstream.py
+++ b/honeywharf/net/downstream.py
@@ -57,7 +57,7 @@
         self.pipelined: deque[http1.Request] = deque()
         self.pipelined_bytes = 0
         self.parse_error: http1.MalformedMessageError | None = None
-        self.closing = False  # once set, no more requests are read or answered
+        self.closing = False  # once set, no more requests are read, and no responses sent
         self.discarded_bytes = 0  # input received while closing
         self.group: dict[Connection, None] | None = None  # the frontend's group that contains this connection
         self.group_entered_ms = 0.0
@@ -75,7 +75,7 @@
         self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def data_received(self, data: bytes) -> None:
-        """Parse requests; a request waits until the previous one has been answered."""
+        """Parse requests; a request waits until the response to the previous one has been sent."""
         if self.closing:
             self._discard(len(data))
             return
@@ -209,7 +209,7 @@
         return False
 
     def _drop_requests(self) -> None:
-        """Drop the pipelined requests and the current one, if it has not been answered."""
+        """Drop the pipelined requests and the current one, if there is one without a response."""
         request = self.current_request
         self._begin_closing()
         if request is not None:
@@ -239,7 +239,7 @@
         # Each group holds connections without a complete request, in the order in which they entered it.
         self.awaiting_first_byte: dict[Connection, None] = {}  # nothing has been received
         self.receiving: dict[Connection, None] = {}  # part of a request has been received
-        self.idle: dict[Connection, None] = {}  # the last request has been answered
+        self.idle: dict[Connection, None] = {}  # the response to the last request has been sent
         self.lingering: dict[Connection, None] = {}  # the final response has been sent
         self.server: asyncio.Server | None = None
         self.listener: socket.socket | None = None
@@ -319,7 +319,7 @@
             self.on_all_closed()
 
     def dispatch_request(self, request: http1.Request, connection: Connection) -> None:
-        """Answer the request if the proxy does so itself, and pass it to the driver otherwise."""
+        """Pass the request to the driver, unless the proxy sends the response itself."""
         path = request.target.partition(b"?")[0]
         if path == READINESS_PATH and request.method == b"GET":
             connection.send_response(200 if self.ready() else SERVICE_UNAVAILABLE)
@@ -328,7 +328,7 @@
         elif self.driver.validation_error(request) is not None:
             connection.reject_and_close(400)
         elif self.refusing_requests or self.driver.at_capacity():
-            # The request does not reach the decision module, so no backend has executed it.
+            # The request does not reach the balancer, so no backend has executed it.
             connection.send_response(SERVICE_UNAVAILABLE)
         elif not self.driver.accept_request(request, connection):
             connection.send_response(409)
--- a/honeywharf/net/driver.py
+++ b/honeywharf/net/driver.py
@@ -16,8 +16,8 @@
 from honeywharf.net.clock import TIMER_TOLERANCE_MS, Clock, Loop
 from honeywharf.net.log import log
 
-# The final answer is due this long before the client's deadline. The client's time runs from when it sent the
-# request, so part of it has passed when the request is read, and a timer may fire late.
+# The final response is due this long before the client's deadline. The client's time runs from when it sent
+# the request, so part of it has passed when the request is read, and a timer may fire late.
 FINAL_RESPONSE_MARGIN_MS = 10.0
 BAD_GATEWAY = 502
 SERVICE_UNAVAILABLE = 503
@@ -48,7 +48,7 @@
         self.counts: dict[str, int] = {}
 
     def start(self, cached_list: api.EndpointsListed) -> None:
-        """Start the balancer with the endpoint list that is known from the last run."""
+        """Start the balancer with the endpoint list that is cached from the last run."""
         self._enqueue(api.Started())
         self._enqueue(cached_list)
         self._process_events()
@@ -80,8 +80,8 @@
         """Accept a valid request, and return True; return False if its id is already in the table."""
         if request.id in self.requests or request.time_left_ms is None:
             return False
-        # No client waits longer than the deadline of its class; without this bound, a client that claims a
-        # remaining time of years would stay in the table for as long.
+        # No client waits longer than the deadline of its class. Without this bound, the request of a client
+        # that claims a remaining time of years would stay in the table for as long.
         max_remaining_ms = self.classes[request.class_name].deadline_ms
         remaining_ms = max(0.0, min(request.time_left_ms, max_remaining_ms) - FINAL_RESPONSE_MARGIN_MS)
         remaining_ms -= self.clock.now() - request.received_ms
@@ -115,9 +115,10 @@
             self._enqueue(api.RequestAbandoned(request.id), pending)
 
     def handle_discovery_event(self, event: api.EndpointsListed | api.ListExpiryChanged) -> None:
-        """Process a discovery event before all queued events, so that a drain applies to every later send.
+        """Process a discovery event before all queued events, so that later sends respect a backend's drain.
 
-        If the list has expired, attempts that were decided on it and are not wholly written yet are aborted.
+        If the list has expired, attempts for which the balancer chose a backend from it, and which are not
+        wholly written yet, are aborted.
         """
         self.events.appendleft((event, None))
         self._process_events()
@@ -126,7 +127,7 @@
                 self._abort_unwritten_attempts(pending)
 
     def attempt_ended(self, attempt: Attempt, outcome: api.Outcome, response: http1.Response | None) -> None:
-        """Record the outcome of an attempt, and answer the client at once if it is the request's first 200.
+        """Record the outcome of an attempt; the first 200 of a request is sent to the client at once.
 
         Only the first outcome of an attempt counts.
         """
@@ -162,7 +163,7 @@
     # Timers.
 
     def _deadline_reached(self, pending: PendingRequest) -> None:
-        """Time out the active attempts at the request's deadline, when the final answer is due."""
+        """Time out the active attempts at the request's deadline, when the final response is due."""
         early_ms = pending.deadline_at_ms - self.clock.now()
         if early_ms > TIMER_TOLERANCE_MS:
             pending.timer = self.loop.call_later(early_ms / 1000.0, self._deadline_reached, pending)
@@ -178,7 +179,7 @@
             self._enqueue(api.RequestAbandoned(pending.request.id), pending)
 
     def _time_out_attempt(self, attempt: Attempt) -> None:
-        """End an attempt that has reached its timeout; a machine that has vanished never responds.
+        """End an attempt that has reached its timeout; if its host is unreachable, nothing else ends it.
 
         An attempt that is not wholly written by then is not executed: either it had no connection, or the
         backend did not read the request.
@@ -282,8 +283,10 @@
         if (pending.finished or len(pending.attempts) >= self.settings.limits.max_attempts
                 or attempt_deadline_at_ms <= now + TIMER_TOLERANCE_MS
                 or not self.pool.has_endpoint(action.endpoint)):
-            # The send would break a rule on final answers, repeated effects or drains. The driver enforces
-            # these rules even if the balancer is faulty.
+            # The request is finished, has reached the attempt limit or has no time left, or the endpoint is
+            # not in the current list. The driver checks this itself. Otherwise a faulty balancer could cause
+            # attempts after the final response, more repeated executions than the limit allows, or calls to
+            # removed backends.
             self._enqueue(api.AttemptEnded(
                 pending.request.id, len(pending.attempts), api.Outcome.NOT_SENT, 0.0, pending.finished, None,
                 action.endpoint,
@@ -321,7 +324,7 @@
     def _send_error_response(
         self, action: api.Refuse | api.Fail, status: int, counter: str, retry_after_ms: float = 0.0,
     ) -> None:
-        """Answer a request that the balancer refuses or fails, and count it with its reason."""
+        """Send the error response to a request that the balancer refuses or fails, and count the reason."""
         pending = self.requests.get(action.request)
         if pending is not None and not pending.finished:
             self._finish(pending, counter)
@@ -329,7 +332,7 @@
             pending.client.send_response(status, retry_after_ms=retry_after_ms)
 
     def fail_open_requests(self) -> None:
-        """Answer all open requests with an error, because the process is about to be killed."""
+        """Send error responses to all open requests, because the process is about to exit."""
         for pending in list(self.requests.values()):
             if not pending.finished:
                 self._finish(pending, "cut off")
@@ -340,8 +343,9 @@
     def _finish(self, pending: PendingRequest, counter: str) -> None:
         """Mark the request as finished and increment a counter.
 
-        Requests are finished in this one place, so that each gets at most one final answer. Attempts that are
-        not wholly written yet are aborted; otherwise they would be sent once their connection is established.
+        Requests are finished in this one place, so that each gets at most one final response. Attempts that
+        are not wholly written yet are aborted; otherwise they would be sent once their connection is
+        established.
         """
         pending.finished = True
         self.open_request_count -= 1
--- a/honeywharf/net/endpoint_directory.py
+++ b/honeywharf/net/endpoint_directory.py
@@ -20,7 +20,8 @@
 class OlderGenerationError(ValueError):
     """A response has changes up to a generation that is older than the current one.
 
-    Such changes do not apply to the current list: discovery has lost its history, or another service answers.
+    Such changes do not apply to the current list: discovery has lost its history, or another service responds
+    at its address.
     """
 
 
--- a/honeywharf/net/http1.py
+++ b/honeywharf/net/http1.py
@@ -8,8 +8,9 @@
 import httptools
 
 MAX_REQUEST_BODY_BYTES = 64 * 1024
-# The protocol limits a response body to 64 KiB, but valid ones of 400 KB occur. A longer one than this counts
-# as malformed. Many long ones at once could exhaust the memory, so the pool limits what they hold together.
+# The service protocol, which states how the clients and backends of this system use HTTP, limits a response
+# body to 64 KiB, but valid ones of 400 KB occur. A longer one than this counts as malformed. Many long ones
+# at once could exhaust the memory, so the pool limits what they hold together.
 MAX_RESPONSE_BODY_BYTES = 1024 * 1024
 MAX_HEAD_BYTES = 16 * 1024
 MAX_NAMED_NUMBERS = 32  # per header; further ones are ignored
@@ -20,8 +21,9 @@
     503: b"Service Unavailable", 504: b"Gateway Timeout",
 }
 SUPPORTED_METHODS = frozenset((b"GET", b"POST", b"HEAD", b"PUT", b"DELETE", b"OPTIONS", b"PATCH"))
-#: Request headers that are forwarded to a backend: those that the protocol names, and the content type. All
-#: others are dropped, because a backend might read them as another framing or as part of another request.
+#: Request headers that are forwarded to a backend: those that the service protocol names, and the content
+#: type. All others are dropped, because a backend might read them as another framing or as part of another
+#: request.
 FORWARDED_HEADERS = frozenset((
     b"host", b"x-correlation-id", b"x-service-class", b"x-account", b"cookie", b"x-repeat",
     b"idempotency-key", b"x-weight-hint", b"x-facts", b"content-type",
@@ -33,7 +35,10 @@
 
 
 class MalformedMessageError(Exception):
-    """A message violates the protocol. `status` is the status with which a request is rejected."""
+    """A message violates HTTP or the service protocol.
+
+    `status` is the status with which a request is rejected.
+    """
 
     def __init__(self, status: int, message: str) -> None:
         super().__init__(message)
@@ -124,7 +129,7 @@
         return b"".join(lines)
 
 
-NO_REQUEST = Request()  # stands for the current request between two messages
+NO_REQUEST = Request()  # the placeholder while no request is being read
 
 
 def _set_id(request: Request, value: bytes) -> None:
@@ -238,7 +243,8 @@
                 cause = cause.__cause__ or cause.__context__
             raise cause or MalformedMessageError(400, str(error)) from None
         if self.in_head:
-            # The parser buffers an unfinished line and calls nothing, so an endless one must be counted here.
+            # The parser buffers an unfinished line and invokes no callback until the line ends, so the bytes
+            # of an endless line are counted here.
             self._count_head_bytes(len(data))
 
 
@@ -338,8 +344,8 @@
     def feed(self, data: bytes) -> Response | None:
         """Return the response that these bytes complete, if any.
 
-        Bytes after it do not matter, whatever they are: the response is complete and belongs to the one
-        request that was outstanding.
+        Bytes that follow the response do not invalidate it, whatever they are: it is complete and belongs to
+        the one request that was outstanding. Only the connection must not be used again.
         """
         self.completed = None
         try:
