--- a/honeywharf/net/attempts.py
+++ b/honeywharf/net/attempts.py
@@ -42,7 +42,7 @@
         self.attempts: list[Attempt | None] = []  # None for an attempt that was not started
         self.active_attempt_count = 0
         self.queued_event_count = 0  # events of the request that are not processed yet
-        self.finished = False  # it needs no further answer: it is answered, or its client is gone
+        self.finished = False  # its response has been sent, or its client has disconnected
         self.timer: Timer | None = None
 
 
@@ -50,15 +50,17 @@
     """One attempt of a request."""
 
     __slots__ = (
-        "__weakref__", "active", "latest_send_ms", "number", "owner", "pending", "started_ms", "timer",
+        "__weakref__", "active", "latest_send_ms", "number", "owner", "pending_request", "started_ms",
+        "timer",
     )
 
     def __init__(
-        self, owner: CallOwner, pending: PendingRequest, endpoint: str, now_ms: float, deadline_at_ms: float,
-        latest_send_ms: float,
+        self, owner: CallOwner, pending_request: PendingRequest, endpoint: str, now_ms: float,
+        deadline_at_ms: float, latest_send_ms: float,
     ) -> None:
-        super().__init__(endpoint, pending.head, pending.request.body, deadline_at_ms)
-        self.owner, self.pending, self.number, self.started_ms = owner, pending, len(pending.attempts), now_ms
+        super().__init__(endpoint, pending_request.head, pending_request.request.body, deadline_at_ms)
+        self.owner, self.pending_request, self.number, self.started_ms = (
+            owner, pending_request, len(pending_request.attempts), now_ms)
         self.latest_send_ms = latest_send_ms
         self.active = True  # it has no outcome yet
         self.timer: Timer | None = None
@@ -66,16 +68,17 @@
     def may_be_sent(self) -> bool:
         """Return whether the client is still connected and the latest time to send has not passed.
 
-        The client may have disconnected without the event loop having read it: the close waits in the socket
-        while the loop is busy, or behind a pipelined request or the outcome that led to this attempt. The
-        latest time to send prevents retries that go out only after the window in which backends drop
-        duplicates, because their connection was slow to connect.
+        The client may have disconnected without the event loop having read the EOF from its socket yet: the
+        loop is busy, or a pipelined request precedes the EOF, or this attempt results from the outcome of an
+        earlier one that the loop processed before it read the client's socket. The latest time to send
+        prevents a retry that waited for a slow connection from being sent after the window in which backends
+        drop duplicates.
         """
         if self.owner.clock.now() > self.latest_send_ms:
             return False
-        if not self.pending.finished and self.pending.client.disconnected():
-            self.owner.client_disconnected(self.pending.request)
-        return not self.pending.finished
+        if not self.pending_request.finished and self.pending_request.client.disconnected():
+            self.owner.client_disconnected(self.pending_request.request)
+        return not self.pending_request.finished
 
     def complete(self, outcome: api.Outcome, response: http1.Response | None) -> None:
         """Report the outcome to the driver."""
