--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -43,7 +43,7 @@
     ("close", Outcome.RESET, None),
     (b"HTTP/1.1 200 OK\r\nContent-Le", Outcome.RESET, None),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort", Outcome.RESET, None),
-    (b"HTTP/1.1 200 OK\r\n\r\nno end is told", Outcome.RESET, None),
+    (b"HTTP/1.1 200 OK\r\n\r\nno end is told", Outcome.RESET, None),  # neither Content-Length nor chunks
     (b"not http at all\r\n\r\n", Outcome.ERROR, None),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nit keeps coming", Outcome.ERROR, None),
     (b"HTTP/1.1 200 OK\r\nX-Endless: " + b"x" * 40000, Outcome.ERROR, None),
@@ -122,7 +122,8 @@
 class ExpiredConnectLoop(GatedLoop):
     """A loop in which each connect times out in the loop iteration after the connection is established.
 
-    If `connections_allowed` is set, the timeout comes only after the connection is closed.
+    `connections_allowed` does not hold back connects here: if it is set, the timeout comes only after the
+    connection is closed.
     """
 
     async def create_connection(self, *args: Any) -> Any:
@@ -141,10 +142,10 @@
         loop = asyncio.get_running_loop()
         pool = ConnectionPool(loop, Clock(), api.Limits(connect_timeout_ms=20000.0), 10)
         pool.set_endpoint("b", ("127.0.0.1", backend.port), None, accepts_calls=True)
-        gate = ExpiredConnectLoop(loop)
-        pool.loop = gate  # type: ignore[assignment]
+        expired_connect_loop = ExpiredConnectLoop(loop)
+        pool.loop = expired_connect_loop  # type: ignore[assignment]
         if close_first:
-            gate.connections_allowed.set()
+            expired_connect_loop.connections_allowed.set()
         call = RecordingCall(b"")
         pool.start(call)
         await with_timeout(call.finished.wait())
@@ -156,7 +157,7 @@
 
 @pytest.mark.parametrize("change", ["drains", "is removed", "restarts", "moves"])
 def test_nothing_is_sent_to_a_backend_that_changes_during_connect(change: str) -> None:
-    """The change always precedes the connection, because both calls are made in one loop iteration."""
+    """The change always precedes the connection, because `start` and the change run in one loop iteration."""
     async def main() -> None:
         backend, other = await Backend().start(), await Backend().start()
         address = ("127.0.0.1", backend.port)
@@ -447,14 +448,14 @@
             [backend.discovery_entry("b")], bounds={"connectTimeoutMs": 60000.0}
         ) as harness:
             pool = harness.proxy.pool
-            gate = GatedLoop(pool.loop)
-            pool.loop = gate  # type: ignore[assignment]
+            gated_loop = GatedLoop(pool.loop)
+            pool.loop = gated_loop  # type: ignore[assignment]
             client, second_client = await Client.connect(harness.port), await Client.connect(harness.port)
             client.send("pay", b"left")
-            await wait_until(lambda: pool.handshakes == 1)
+            await wait_until(lambda: pool.handshakes == 1)  # one connect has started
             client.writer.close()
             await wait_until(lambda: any(isinstance(e, api.RequestAbandoned) for e in harness.events))
-            gate.connections_allowed.set()
+            gated_loop.connections_allowed.set()
             await wait_until(lambda: not pool.connect_tasks)
             assert [(e.outcome, e.request_finished) for e in harness.ended_attempts()] == [
                 (Outcome.NOT_SENT, True)
@@ -509,7 +510,7 @@
     run_test(main())
 
 
-def test_an_incomplete_response_times_out_early_enough_for_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_incomplete_response_fails_early_enough_for_a_retry(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(backend_module, "RESPONSE_READ_TIMEOUT_S", 0.05)
 
     async def main() -> None:
@@ -570,7 +571,7 @@
     run_test(main())
 
 
-def test_the_pool_learns_when_a_backend_closes_idle_connections(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_pool_learns_the_idle_timeout_of_a_backend(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(backend_module, "MIN_OBSERVED_IDLE_MS", 20.0)
 
     async def main() -> None:
@@ -599,7 +600,10 @@
 
 
 def test_a_long_response_in_pieces_is_forwarded_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Responses that are longer than the protocol allows must not fail their requests."""
+    """The protocol between proxy and backend allows 64 KiB, but valid responses of 400 KB must not fail.
+
+    Such a response may take longer than the read timeout, as long as each piece arrives in time.
+    """
     monkeypatch.setattr(backend_module, "RESPONSE_READ_TIMEOUT_S", 1.0)
 
     async def main() -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,7 @@
-"""The discovery client over real sockets, and the effect of endpoint lists on the connection pool."""
+"""The discovery client over real sockets, and the effect of endpoint lists on the connection pool.
+
+A poll is one HTTP request to discovery. A watch is the chain of long polls that discovery keeps open.
+"""
 
 from __future__ import annotations
 
@@ -50,7 +53,7 @@
         parse_entry({**discovery_entry("s", 3000), **invalid})
 
 
-def test_the_client_polls_on_from_the_last_generation_on_the_same_connection() -> None:
+def test_the_proxy_continues_polling_from_the_last_generation_on_the_same_connection() -> None:
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
@@ -69,9 +72,9 @@
     run_test(main())
 
 
-@pytest.mark.parametrize("changes", [0, 1])
-def test_a_poll_that_the_balancer_requests_on_receiving_a_list_times_out_if_unanswered(
-    changes: int, monkeypatch: pytest.MonkeyPatch,
+@pytest.mark.parametrize("changed_entry_count", [0, 1])
+def test_an_unanswered_poll_that_was_started_while_a_list_is_processed_times_out(
+    changed_entry_count: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Processing the list must not cancel the timer of the poll that was sent meanwhile.
 
@@ -92,7 +95,7 @@
                 watch.fetch()
 
             watch.notify = notify_and_fetch
-            harness.discovery.publish(2, *[discovery_entry("c", 2)] * changes)
+            harness.discovery.publish(2, *[discovery_entry("c", 2)] * changed_entry_count)
             # The poll for the full list is never answered and times out, and another poll follows.
             await wait_until(lambda: len(harness.discovery.request_lines) >= 4)
             assert harness.discovery.request_lines[2].startswith(b"GET /registry/instances HTTP")
@@ -175,7 +178,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n{",
     ],
 )
-def test_the_client_polls_again_after_an_invalid_answer(invalid: bytes) -> None:
+def test_the_proxy_polls_again_after_an_invalid_response(invalid: bytes) -> None:
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
@@ -224,10 +227,13 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("discovery_state", ["down", "silent", "rejecting"])
-def test_a_proxy_without_a_list_is_not_ready_at_once_but_well_within_10_s(
+def test_a_proxy_without_a_list_becomes_ready_after_the_first_list_timeout(
     mode: str, discovery_state: str, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Once ready, it rejects requests at once, because it cannot send them without a list."""
+    """It has to be ready within 10 s of its start, so the timeout is well below that.
+
+    Once ready, it rejects requests without delay, because it cannot send them without a list.
+    """
     assert main_module.FIRST_LIST_TIMEOUT_S < 8
     monkeypatch.setattr(main_module, "FIRST_LIST_TIMEOUT_S", 1e6)
 
@@ -295,7 +301,7 @@
 
 
 def test_a_rejected_poll_does_not_count_as_timed_out() -> None:
-    """Otherwise the proxy would skip the balancer's pause, and all proxies would poll each second."""
+    """Otherwise the proxy would skip the balancer's backoff, and all proxies would poll each second."""
     async def main() -> None:
         async with started_proxy([discovery_entry("b", 1)], discovery="ask") as harness:
             for number in (1, 2):
@@ -311,7 +317,7 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 def test_a_poll_after_a_failure_does_not_wait_for_changes(mode: str) -> None:
-    """Such a poll queues at discovery first, where a timeout derived from its wait could expire too early."""
+    """Such a poll queues at discovery first, so a timeout computed from `wait_ms` could expire too early."""
     async def main() -> None:
         async with started_proxy([discovery_entry("b", 1)], discovery=mode) as harness:
             harness.proxy.watch.watch()
@@ -328,9 +334,10 @@
 
 
 def test_where_lists_are_pushed_polls_are_retried_within_the_drain_grace_period() -> None:
-    """An agent that was unreachable for long returns with a list in which a backend drains.
+    """A discovery agent (which pushes lists) was unreachable for long; its new list has a draining backend.
 
-    The proxy is deemed notified of the drain as soon as the agent returns.
+    The propagation deadline of the drain, after which the proxy has to obey it whether or not a response has
+    arrived, passes as soon as the agent returns.
     """
     async def main() -> None:
         draining, remaining = await Backend().start(), await Backend().start()
--- a/tests/test_discovery_address_change.py
+++ b/tests/test_discovery_address_change.py
@@ -1,4 +1,7 @@
-"""Discovery at a new address, or with a different history of generations, over real sockets."""
+"""Discovery at a new address, or restarted with older generations, over real sockets.
+
+A poll is one HTTP request to discovery. A long poll waits at discovery until there is a change.
+"""
 
 from __future__ import annotations
 
@@ -22,15 +25,15 @@
 )
 
 
-async def wait_for_watch(harness: ProxyHarness, discovery: Discovery, generation: int = 1) -> None:
-    """Wait until the proxy has polled for the changes since its generation, and then for further changes."""
+async def wait_for_long_poll(harness: ProxyHarness, discovery: Discovery, generation: int = 1) -> None:
+    """Wait until the proxy has sent an immediate poll from `generation`, and then a long poll."""
     await wait_until(lambda: len(discovery.request_lines) >= 2)
     assert discovery.request_lines[0] == b"GET /registry/instances?after=%d&wait_ms=0 HTTP/1.1" % generation
     assert b"?after=" in discovery.request_lines[1]
     assert b"&wait_ms=4000 " in discovery.request_lines[1]
 
 
-def test_at_a_new_address_the_proxy_polls_on_from_its_generation_and_keeps_its_state() -> None:
+def test_at_a_new_address_the_proxy_continues_from_its_current_generation_and_keeps_its_state() -> None:
     """If all proxies requested full lists at once, their current lists would expire before they got them."""
     async def main() -> None:
         backend, new_discovery = await Backend().start(), await Discovery().start()
@@ -47,7 +50,7 @@
             # A late answer on the old connection is ignored, and so is the loss of that connection below.
             harness.discovery.publish(50, discovery_entry("late", 9))
             new_discovery.publish(3, discovery_entry("c", 2), reset=False)
-            await wait_for_watch(harness, new_discovery)
+            await wait_for_long_poll(harness, new_discovery)
             assert b"after=3&" in new_discovery.request_lines[1]
             assert [e.kind for e in received_lists(harness)] == [api.ListKind.CACHED, api.ListKind.CHANGES]
             assert harness.proxy.pool.has_endpoint("c")
@@ -78,7 +81,7 @@
                 await asyncio.sleep(0)
             await wait_until(lambda: len(last.request_lines) >= 1)
             last.publish(2, discovery_entry("e", 5), discovery_entry("b", 1, lifecycle="removed"))
-            await wait_for_watch(harness, last)
+            await wait_for_long_poll(harness, last)
             assert len(last.connections) == 1
             assert harness.proxy.pool.has_endpoint("e")
             assert not harness.proxy.pool.has_endpoint("b")
@@ -119,7 +122,7 @@
             harness.proxy.drain()
             harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
             new_discovery.publish(1, backend.discovery_entry("b"))
-            await wait_for_watch(harness, new_discovery)
+            await wait_for_long_poll(harness, new_discovery)
             for writer in list(backend.writers):
                 writer.write(make_response())
             assert await client.read_status() == 200
@@ -130,7 +133,7 @@
 
 @pytest.mark.parametrize("address_changes", [True, False])
 @pytest.mark.parametrize("mode", ["ask", "push"])
-def test_on_changes_to_an_older_generation_the_proxy_requests_the_full_list(
+def test_on_an_update_with_an_older_generation_the_proxy_requests_the_full_list(
     mode: str, address_changes: bool,
 ) -> None:
     """Discovery has lost its history in a restart, or another service answers at its address.
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -1,4 +1,7 @@
-"""Connections from clients over real sockets: the proxy's own responses, bad input, limits and draining."""
+"""Connections from clients over real sockets: the proxy's own responses, bad input, limits and draining.
+
+`Frontend`, in the module `downstream`, accepts these connections and holds them.
+"""
 
 from __future__ import annotations
 
@@ -136,7 +139,7 @@
     run_test(main())
 
 
-def test_the_final_response_arrives_even_if_input_follows_the_request() -> None:
+def test_the_last_response_on_a_connection_arrives_even_if_input_follows_the_request() -> None:
     async def main() -> None:
         backend = await Backend().start()
         async with synced_proxy([backend.discovery_entry("b")]) as harness:
@@ -244,10 +247,13 @@
     run_test(main())
 
 
-def test_above_the_connection_limit_waiting_clients_are_evicted_and_then_new_ones_are_rejected(
+def test_at_the_connection_limit_clients_without_a_request_are_evicted_before_new_ones_are_rejected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Clients that have sent nothing, or only part of a request, are evicted first."""
+    """Clients that have sent nothing, or only part of their first request, are evicted.
+
+    Once all connections have an open request, a new client is rejected.
+    """
     monkeypatch.setattr(downstream, "MIN_EVICTION_AGE_MS", 0.0)
 
     async def main() -> None:
@@ -362,10 +368,10 @@
 
 
 def test_a_client_in_the_accept_queue_is_served_when_the_listener_closes() -> None:
-    """The client connects while the event loop is late, before the timer that closes the listener runs.
+    """The client connects while the event loop is delayed, before the timer that closes the listener runs.
 
-    Closing the listener would reset the connection. To make the loop late in every run, the test connects and
-    closes the listener within one turn of the loop.
+    Closing the listener would reset the connection. To have this delay in every run, the test connects and
+    closes the listener within one loop iteration.
     """
     async def main() -> None:
         backend = await Backend().start()
--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -79,7 +79,7 @@
         self.started: list[Call] = []
         self.aborted: list[Call] = []
         self.closed_endpoints: list[str] = []
-        self.unwritten: set[Call] = set()
+        self.not_fully_written: set[Call] = set()
 
     def has_endpoint(self, endpoint: str) -> bool:
         return endpoint in self.endpoints
@@ -91,7 +91,7 @@
         self.aborted.append(call)
 
     def has_unwritten_data(self, call: Call) -> bool:
-        return call in self.unwritten
+        return call in self.not_fully_written
 
     def close_idle(self, endpoint: str) -> None:
         self.closed_endpoints.append(endpoint)
@@ -255,7 +255,7 @@
 
 
 def test_no_attempt_starts_once_the_deadline_timer_has_fired(harness: DriverHarness) -> None:
-    """No timer would end such an attempt, so its request would never be removed from the table."""
+    """No timer would end such an attempt, so its request would stay in `driver.requests` forever."""
     def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded) and event.outcome is Outcome.TIMEOUT:
             return [api.Send(event.request, "b2", 0.0)]
@@ -282,7 +282,7 @@
     assert event.remaining_ms == pytest.approx(700.0 - ANSWER_MARGIN_MS)
 
 
-def test_a_request_that_the_balancer_keeps_fails_at_its_deadline(harness: DriverHarness) -> None:
+def test_a_request_that_is_never_sent_fails_at_its_deadline(harness: DriverHarness) -> None:
     _, client = harness.arrive(500.0)
     harness.loop.advance(499.0)
     assert client.answers == [(502, b"", 0.0)]
@@ -338,7 +338,7 @@
 
 
 @pytest.mark.parametrize("ending", ["disconnected", "answered", "shutdown"])
-def test_unwritten_attempts_are_aborted_when_their_request_finishes(
+def test_attempts_not_fully_written_are_aborted_when_their_request_finishes(
     harness: DriverHarness, ending: str,
 ) -> None:
     def react(event: api.Event) -> list[api.Action]:
@@ -346,8 +346,8 @@
             event, api.RequestArrived) else []
     harness.balancer.react = react
     request, client = harness.arrive()
-    sent, unwritten = harness.pool.started
-    harness.pool.unwritten = {unwritten}
+    sent, not_fully_written = harness.pool.started
+    harness.pool.not_fully_written = {not_fully_written}
     if ending == "disconnected":
         harness.driver.client_disconnected(request)
     elif ending == "answered":
@@ -355,7 +355,7 @@
     else:
         harness.driver.fail_open_requests()
     harness.loop.run_callbacks()
-    assert harness.pool.aborted == [unwritten]
+    assert harness.pool.aborted == [not_fully_written]
     sent.complete(Outcome.OK, ok_response())
     harness.loop.run_callbacks()
     assert set(harness.outcomes()) == {(0, Outcome.OK, True), (1, Outcome.NOT_SENT, True)}
@@ -373,7 +373,7 @@
     assert harness.outcomes() == [(0, Outcome.CANCELLED, False)]
 
 
-def test_a_refusal_carries_a_retry_delay_and_a_failure_stays_a_502(harness: DriverHarness) -> None:
+def test_a_refusal_carries_a_retry_delay_and_is_ignored_after_a_failure(harness: DriverHarness) -> None:
     harness.balancer.react = lambda event: [api.Refuse("r1", 250.0)]
     _, refused = harness.arrive()
     harness.balancer.react = lambda event: [api.Fail("r2"), api.Refuse("r2")]
@@ -398,7 +398,7 @@
     assert "broken" in capsys.readouterr().err
 
 
-def test_an_exception_on_an_outcome_fails_the_request(harness: DriverHarness) -> None:
+def test_an_exception_while_handling_an_ended_attempt_fails_the_request(harness: DriverHarness) -> None:
     def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded):
             raise ZeroDivisionError
@@ -411,7 +411,7 @@
     assert harness.driver.requests == {}
 
 
-def test_a_request_is_abandoned_in_the_balancer_after_an_exception(harness: DriverHarness) -> None:
+def test_the_balancer_is_told_to_drop_an_answered_request_after_an_exception(harness: DriverHarness) -> None:
     def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded):
             raise ZeroDivisionError
@@ -464,7 +464,9 @@
     assert harness.events(api.TimerFired) == [api.TimerFired("t")]
 
 
-def test_load_reports_follow_the_settings_order_under_either_name(harness: DriverHarness) -> None:
+def test_load_report_fields_are_read_by_settings_or_wire_name_and_returned_in_settings_order(
+    harness: DriverHarness,
+) -> None:
     assert harness.driver._parse_load_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
     assert harness.driver._parse_load_report(b"inflight=1, queue=3,in_flight=4") == (3.0, 4.0)
     assert harness.driver._parse_load_report(b"pending=2") is None
@@ -486,13 +488,13 @@
         ("b1", Outcome.OK, (1.0, 2.0)), ("b2", Outcome.TIMEOUT, None), ("b9", Outcome.NOT_SENT, None)]
 
 
-def test_an_id_in_the_table_is_not_accepted_twice(harness: DriverHarness) -> None:
+def test_a_request_with_the_id_of_an_open_request_is_rejected(harness: DriverHarness) -> None:
     request, _ = harness.arrive()
     assert not harness.driver.accept_request(request, FakeClient())
     assert harness.driver.open_request_count == 1
 
 
-def test_the_limit_on_open_requests(harness: DriverHarness) -> None:
+def test_the_driver_is_at_capacity_at_the_open_request_limit(harness: DriverHarness) -> None:
     harness.arrive()
     assert not harness.driver.at_capacity()
     harness.arrive()
@@ -500,7 +502,7 @@
 
 
 def test_every_request_gets_one_answer_under_random_events(harness: DriverHarness) -> None:
-    """Outcomes, cancels, disconnects, exceptions and timeouts are random; no request stays in the table."""
+    """Outcomes, cancels, disconnects, exceptions and timeouts are random; none stays in `driver.requests`."""
     rng = random.Random(4)
     def react(event: api.Event) -> list[api.Action]:
         if rng.random() < 0.02:
--- a/tests/test_earlier_version_compatibility.py
+++ b/tests/test_earlier_version_compatibility.py
@@ -1,4 +1,4 @@
-"""The names and forms that leave the process are those of an earlier version of the program.
+"""Names and formats on all external interfaces are those of an earlier version of the program.
 
 `data/earlier_version.json` was recorded from that version: its configuration file, what it exchanged with a
 client, a backend and discovery, the metrics that it logged, and a session of the simulator adapter. The test
@@ -28,13 +28,13 @@
 REPOSITORY_ROOT = Path(__file__).parent.parent
 RECORDING: dict[str, Any] = json.loads((Path(__file__).parent / "data" / "earlier_version.json").read_text())
 METRIC_LINES = ("stats", "list", "zones")
-#: Values of the simulator's actions that depend on the policy and on random numbers.
+#: Fields of the simulator adapter's actions whose values depend on the policy and on random numbers.
 MASKED_ACTION_FIELDS = ("timeoutMs", "comeBackMs", "fireAtMs")
 
 
 @dataclass
 class Exchange:
-    """What one run of the proxy exchanged with its neighbours, as text with numbers masked."""
+    """What one run of the proxy exchanged with a client, a backend and discovery, with numbers masked."""
 
     polls: list[str] = field(default_factory=list)
     backend_requests: list[str] = field(default_factory=list)
@@ -49,10 +49,11 @@
     return re.sub(r"wait_ms=[1-9]\d*", "wait_ms=TIME", masked)
 
 
-def metric_names(line: str) -> list[str]:
+def masked_metrics(line: str) -> list[str]:
     """Return the items `name=value` of a metric line with numbers masked, in their order.
 
-    Left out is what depends on the load of the machine: the poll in flight, and slow connections.
+    Two items depend on the load of the machine and are left out: the poll in flight, whose words have no
+    `=`, and `late_connections`, the number of slow connects.
     """
     items = [item for item in line.split()[1:] if "=" in item and not item.startswith("late_connections=")]
     return [re.sub(r"\d+(\.\d+)?", "N", item) for item in items]
@@ -117,7 +118,7 @@
             while len(exchange.metrics) < len(METRIC_LINES):
                 line = (await process.stderr.readline()).decode()
                 if line.startswith(METRIC_LINES):
-                    exchange.metrics[line.split()[0]] = metric_names(line)
+                    exchange.metrics[line.split()[0]] = masked_metrics(line)
     finally:
         process.kill()
         await process.wait()
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -48,7 +48,7 @@
     assert whole.head() == split.head()
 
 
-def test_only_the_headers_that_the_protocol_names_are_forwarded() -> None:
+def test_only_allowlisted_headers_are_forwarded() -> None:
     extra_headers = b"Connection: close, X-Hop\r\nX-Hop: 1\r\nContent_Length: 9\r\nHost"
     (request,) = make_reader().feed(VALID_REQUEST.replace(b"Host", extra_headers))
     head = request.head()
@@ -145,7 +145,7 @@
 @pytest.mark.parametrize("framed_body", [
     b"Content-Length: 1\r\n\r\nx", b"Transfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n\r\n",
 ])
-def test_a_complete_response_survives_trailing_data(framed_body: bytes, trailing: bytes) -> None:
+def test_a_complete_response_is_returned_despite_trailing_data(framed_body: bytes, trailing: bytes) -> None:
     reader = http1.ResponseReader()
     response = reader.feed(STATUS_LINE + framed_body + trailing)
     assert response is not None
@@ -173,7 +173,7 @@
     assert request.work_hint_ms is None
 
 
-def test_an_idle_reader_holds_no_memory_of_the_last_request() -> None:
+def test_an_idle_reader_releases_the_last_request() -> None:
     reader = make_reader()
     reader.feed(VALID_REQUEST)
     assert reader.request is http1.NO_REQUEST
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -1,7 +1,8 @@
 """When the current endpoint list expires, over real sockets.
 
-A list expires when its age is unknown, or when the proxy is deemed notified of changes that the list may
-lack.
+The propagation deadline of a change is the fixed time after which the proxy has to obey the change, whether
+or not a response with it has arrived. A list expires when its age is unknown, or at the propagation deadline
+of changes that the list may lack.
 """
 
 from __future__ import annotations
@@ -45,13 +46,13 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("silent", [False, True])
-def test_nothing_is_sent_on_the_list_of_the_last_run(mode: str, silent: bool) -> None:
+def test_nothing_is_sent_on_the_cached_list_of_the_previous_process(mode: str, silent: bool) -> None:
     """A backend started to drain while the proxy was down for an unknown time.
 
-    Where lists are pushed, the proxy is deemed notified of the drain as soon as it starts; where they are
-    polled, 6 s after the drain started. Clients that do not check its readiness send requests all the same.
-    While discovery is silent, the proxy is not ready until its first poll times out. From then on it is
-    ready, but sends nothing and goes on polling.
+    Where lists are pushed, the propagation deadline of the drain passes as soon as the proxy starts; where
+    they are polled, 6 s after the drain started. Clients that do not check the proxy's readiness send
+    requests all the same. While discovery is silent, the proxy is not ready until its first poll times out.
+    From then on it is ready, but sends nothing and goes on polling.
     """
     async def main() -> None:
         draining, remaining = await Backend().start(), await Backend().start()
@@ -88,8 +89,10 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("failure", ["rejected", "connection lost", "timed out", "invalid answer"])
-def test_a_list_expires_6_s_after_its_last_answer_however_later_polls_fail(mode: str, failure: str) -> None:
-    """The proxy is deemed notified of a change after 6 s even if no poll has brought it.
+def test_a_list_expires_within_6_s_of_the_last_valid_response_whatever_makes_later_polls_fail(
+    mode: str, failure: str,
+) -> None:
+    """The propagation deadline of a change is after 6 s, even if no poll has brought the change.
 
     From then on it sends nothing until a list arrives. Responses do not show that a backend may be used,
     because draining backends respond too.
@@ -150,9 +153,10 @@
 
 
 def test_a_pushed_list_does_not_expire_while_the_agent_is_down() -> None:
-    """An agent that accepts polls but does not respond learns of no changes, so the list stays current.
+    """A discovery agent that accepts polls but does not respond learns of no changes.
 
-    With polled discovery, the proxy cannot tell whether discovery is down or has a long queue.
+    So the list stays current. With polled discovery there is no agent, and the proxy cannot tell whether an
+    unresponsive discovery is down or has a long queue.
     """
     async def main() -> None:
         backend = await Backend().start()
@@ -170,7 +174,8 @@
             client = await Client.connect(harness.port)
             client.send()
             assert await client.read_status() == 200
-            watch.poll.sent_ms += 1000.0  # A new poll shows nothing about the agent.
+            # A poll sent just now does not show yet that the agent is down.
+            watch.poll.sent_ms += 1000.0
             watch._on_expiry_due()
             assert watch.expiry.expired
         await backend.stop()
@@ -183,21 +188,21 @@
         async with synced_proxy(
             [backend.discovery_entry("b")], bounds={"connectTimeoutMs": 60000.0}
         ) as harness:
-            gate = GatedLoop(harness.proxy.pool.loop)
-            harness.proxy.pool.loop = gate  # type: ignore[assignment]
+            gated_loop = GatedLoop(harness.proxy.pool.loop)
+            harness.proxy.pool.loop = gated_loop  # type: ignore[assignment]
             client = await Client.connect(harness.port)
             client.send("pay")
-            await wait_until(lambda: harness.proxy.pool.handshakes == 1)
+            await wait_until(lambda: harness.proxy.pool.handshakes == 1)  # one connect has started
             harness.proxy.watch._on_expiry_due()
             assert await client.read_status() == 503
-            gate.connections_allowed.set()
+            gated_loop.connections_allowed.set()
             await wait_until(lambda: not harness.proxy.pool.connect_tasks)
             assert backend.requests == []
         await backend.stop()
     run_test(main())
 
 
-def test_a_list_stays_current_if_discovery_is_down_and_expires_4_s_after_an_address_change() -> None:
+def test_a_list_stays_current_if_discovery_refuses_connects_and_expires_4_s_after_an_address_change() -> None:
     async def main() -> None:
         discovery, new_discovery = await Discovery().start(), await Discovery().start()
         port = discovery.port
@@ -211,14 +216,15 @@
         await wait_until(lambda: len(discovery.request_lines) == 2)
         assert b"&wait_ms=4000 " in discovery.request_lines[1]
         set_time_until_expiry(harness, 3000.0)
-        discovery.responses.put_nowait(make_response(503))  # Discovery ends an active watch.
+        # Discovery rejects a long poll that it already holds, so nothing had changed until then.
+        discovery.responses.put_nowait(make_response(503))
         await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
         assert seconds_until_expiry(harness) > 4.0
         await discovery.stop()
         set_time_until_expiry(harness, 3000.0)
         harness.proxy.watch.watch()
         await wait_until(lambda: harness.proxy.watch.connect_task is None)
-        assert seconds_until_expiry(harness) > 4.0  # Discovery is down and learns of no changes.
+        assert seconds_until_expiry(harness) > 4.0  # Discovery is down, so it has no new changes.
         harness.proxy.watch.change_address(("127.0.0.1", new_discovery.port))
         assert seconds_until_expiry(harness) <= 4.0
         assert harness.task is not None
@@ -229,19 +235,19 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("is_long", [True, False], ids=["long poll", "queued short poll"])
-def test_an_unanswered_poll_is_repeated_before_the_proxy_is_deemed_notified_of_what_it_missed(
+def test_an_unanswered_poll_is_retried_before_the_propagation_deadline_of_the_changes_it_missed(
     mode: str, is_long: bool,
 ) -> None:
-    """A poll without an answer misses a drain.
+    """A poll without a response misses a drain.
 
-    The proxy is deemed notified of the drain 2 s after the end of a long poll's wait, or 6 s after a short
-    poll went unanswered. The balancer's pause after a failed poll does not fit into that time, and half of
-    it has to be left for discovery's queue.
+    The propagation deadline of the drain is 2 s after the end of a long poll's wait, or 6 s after a short
+    poll went unanswered. The balancer's backoff after a failed poll does not fit into that time, and half of
+    the time has to be left for discovery's queue.
     """
     async def main() -> None:
         draining, remaining = await Backend().start(), await Backend().start()
         entries = [draining.discovery_entry("draining"), remaining.discovery_entry("remaining")]
-        # After a failed poll, the balancer pauses for up to a fifth of this interval.
+        # After a failed poll, the balancer's backoff is up to a fifth of this interval.
         poll_interval = {"askEveryMs": 1e6}
         async with started_proxy(entries, discovery=mode, contract=poll_interval) as harness:
             harness.proxy.watch.watch()
@@ -274,9 +280,10 @@
 
 
 def test_a_poll_sent_too_late_to_continue_a_watch_does_not_wait_for_changes() -> None:
-    """Such a poll queues at discovery to start a new watch.
+    """A watch is the chain of long polls that discovery keeps open; it ends if the next poll comes too late.
 
-    If discovery rejects it there, that does not prove that the earlier watch was active until then.
+    Such a late poll queues at discovery like the first one. If discovery rejects it from the queue, that does
+    not prove that nothing had changed until then, as it does for a long poll that discovery already holds.
     """
     async def main() -> None:
         discovery = await Discovery().start()
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -24,7 +24,7 @@
         ("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
     assert loaded.seed == 0x8C1F30D27A5BE964
     assert loaded.settings.load_report_fields == ("queue", "in_flight")
-    assert loaded.report_fields == ("pending", "busy_reqs")
+    assert loaded.report_fields == ("pending", "busy_reqs")  # the same fields under their wire names
 
 
 @pytest.mark.parametrize("changes", [
@@ -65,7 +65,7 @@
         assert proxy.process.wait(WAIT_TIMEOUT_S) == 0
 
 
-def test_running_out_of_descriptors_interrupts_no_request_and_no_listener(tmp_path: Path) -> None:
+def test_open_requests_complete_and_the_listener_recovers_when_descriptors_run_out(tmp_path: Path) -> None:
     """With more clients than descriptors, open requests are served and the listener recovers."""
     with ProxyProcess(tmp_path, descriptors=64) as proxy:
         first = proxy.connect()  # its request is incomplete, so it must not be closed for another client
@@ -133,7 +133,8 @@
         for service in (second, first, second):
             file.write_text(json.dumps({**valid, "discovery": service.address}))
             proxy.process.send_signal(signal.SIGHUP)
-            # Only one poll is in flight at a time, so at least one of three is newer than the change.
+            # Only one poll is in flight at a time, so at most one of these was sent before the reload; the
+            # later ones use the new address.
             lines = [service.answer_poll() for _ in range(3)]
             assert all(line.startswith(b"GET /registry/instances?after=1&wait_ms=") for line in lines)
             assert any(b"&wait_ms=0 " in line for line in lines)  # the first poll at an address does not wait
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -37,22 +37,22 @@
 class SlowConnectLoop:
     """Wraps an event loop and holds back some of its connects until `connections_allowed` is set.
 
-    `slow_numbers` are the numbers of the connects to hold back, counted from 0. The other ones fail with
+    `slow_connect_indexes` says which connects are held back, counted from 0. The other ones fail with
     `connect_error` if it is set.
     """
 
     connect_error: OSError | None = None
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, *slow_numbers: int) -> None:
-        self.loop, self.slow_numbers, self.connect_count = loop, slow_numbers, 0
+    def __init__(self, loop: asyncio.AbstractEventLoop, *slow_connect_indexes: int) -> None:
+        self.loop, self.slow_connect_indexes, self.connect_count = loop, slow_connect_indexes, 0
         self.connections_allowed = asyncio.Event()
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
     async def create_connection(self, *args: Any) -> Any:
-        number, self.connect_count = self.connect_count, self.connect_count + 1
-        if number in self.slow_numbers:
+        index, self.connect_count = self.connect_count, self.connect_count + 1
+        if index in self.slow_connect_indexes:
             await self.connections_allowed.wait()
         elif self.connect_error is not None:
             raise self.connect_error
@@ -60,9 +60,9 @@
 
 
 def make_pool(
-    backend: Backend, *slow_numbers: int, max_connections: int = 10, timeout_ms: float = 60000.0,
+    backend: Backend, *slow_connect_indexes: int, max_connections: int = 10, timeout_ms: float = 60000.0,
 ) -> tuple[ConnectionPool, SlowConnectLoop]:
-    loop = SlowConnectLoop(asyncio.get_running_loop(), *slow_numbers)
+    loop = SlowConnectLoop(asyncio.get_running_loop(), *slow_connect_indexes)
     limits = api.Limits(connect_timeout_ms=timeout_ms)
     pool = ConnectionPool(loop, Clock(), limits, max_connections)  # type: ignore[arg-type]
     pool.set_endpoint("b", ("127.0.0.1", backend.port), None, accepts_calls=True)
@@ -78,13 +78,13 @@
 
 @asynccontextmanager
 async def proxy(
-    *slow_numbers: int, **changes: Any,
+    *slow_connect_indexes: int, **changes: Any,
 ) -> AsyncIterator[tuple[ProxyHarness, Backend, SlowConnectLoop]]:
-    """Run a proxy with one backend; the connects with these numbers are held back, see `SlowConnectLoop`."""
+    """Run a proxy with one backend; the connects of these indexes are held back, see `SlowConnectLoop`."""
     backend = await Backend().start()
     changes = {"bounds": {"connectTimeoutMs": 60000.0}, **changes}
     async with synced_proxy([backend.discovery_entry("b")], **changes) as harness:
-        loop = SlowConnectLoop(harness.proxy.loop, *slow_numbers)
+        loop = SlowConnectLoop(harness.proxy.loop, *slow_connect_indexes)
         harness.proxy.pool.loop = loop  # type: ignore[assignment]
         yield harness, backend, loop
     await backend.stop()
@@ -182,7 +182,8 @@
         (call,) = start(pool, b"")
         await with_timeout(call.finished.wait())
         assert call.outcomes == [Outcome.CONNECT_TIMEOUT]
-        # The connects start after 0, 10, 30, 70 and 150 ms. The next threshold is longer than the timeout.
+        # The connects start after 0, 10, 30, 70 and 150 ms. The next one would start only after
+        # the connect timeout.
         assert 2 <= loop.connect_count <= 6
         before = loop.connect_count
         (call,) = start(pool, b"")
@@ -209,7 +210,7 @@
     run_test(main())
 
 
-def test_a_lack_of_file_descriptors_fails_no_call_with_a_pending_connection() -> None:
+def test_a_call_with_a_pending_connect_continues_when_no_file_descriptor_is_left() -> None:
     async def main() -> None:
         backend = await Backend().start()
         pool, loop = make_pool(backend, 0)
