--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -464,7 +464,7 @@
     assert harness.events(api.TimerFired) == [api.TimerFired("t")]
 
 
-def test_load_report_fields_are_read_by_settings_or_wire_name_and_returned_in_settings_order(
+def test_load_report_fields_are_read_by_configured_or_mapped_name_and_returned_in_settings_order(
     harness: DriverHarness,
 ) -> None:
     assert harness.driver._parse_load_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -24,7 +24,7 @@
         ("127.0.0.2", 3000), ("127.0.0.1", 1), 1024)
     assert loaded.seed == 0x8C1F30D27A5BE964
     assert loaded.settings.load_report_fields == ("queue", "in_flight")
-    assert loaded.configured_report_names == ("pending", "busy_reqs")  # the same fields under their wire names
+    assert loaded.configured_report_names == ("pending", "busy_reqs")
 
 
 @pytest.mark.parametrize("changes", [
