--- a/honeywharf/net/calls.py
+++ b/honeywharf/net/calls.py
@@ -1,7 +1,7 @@
 """A call to a backend, and the interfaces through which the driver uses sockets.
 
-`Client`, `ConnectionPool` and `DiscoveryClient` stand for the clients, the backends and service discovery, so
-that the driver itself does no I/O.
+`Client`, `CallTransport` and `EndpointDiscovery` stand for the clients, the backends and service discovery,
+so that the driver itself does no I/O.
 """
 
 from __future__ import annotations
@@ -30,8 +30,8 @@
 class Call:
     """A request to a backend and its response.
 
-    The connection pool calls `complete` once, unless the call is aborted. `head` lacks the headers that
-    depend on the time or on the connection; they are added when the request is written.
+    The transport calls `complete` once, unless the call is aborted. `head` lacks the headers that depend on
+    the time or on the connection; they are added when the request is written.
     """
 
     __slots__ = (
@@ -57,8 +57,8 @@
         raise NotImplementedError
 
 
-class ConnectionPool(Protocol):
-    """Sends calls to the backends."""
+class CallTransport(Protocol):
+    """Sends calls to the backends, over a pool of connections."""
 
     def has_endpoint(self, endpoint: str) -> bool:
         """Return whether the endpoint is known from an endpoint list."""
@@ -76,8 +76,8 @@
         """Close the idle connections to an endpoint."""
 
 
-class DiscoveryClient(Protocol):
-    """A client of service discovery, the source of endpoint lists."""
+class EndpointDiscovery(Protocol):
+    """Service discovery, the source of endpoint lists."""
 
     def watch(self) -> None:
         """Start to watch the endpoint list for changes."""
--- a/honeywharf/net/driver.py
+++ b/honeywharf/net/driver.py
@@ -1,7 +1,7 @@
 """The driver, which passes events to the balancer one at a time and executes its actions in order.
 
 It owns the timers and the table of requests, and makes no decisions of its own. It uses no sockets: clients,
-backends and discovery are behind the interfaces `Client`, `ConnectionPool` and `DiscoveryClient`.
+backends and discovery are behind the interfaces `Client`, `CallTransport` and `EndpointDiscovery`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 from honeywharf.balancer import Balancer
 from honeywharf.net import http1
 from honeywharf.net.attempts import Attempt, PendingRequest, Probe
-from honeywharf.net.calls import Client, ConnectionPool, DiscoveryClient
+from honeywharf.net.calls import CallTransport, Client, EndpointDiscovery
 from honeywharf.net.clock import TIMER_TOLERANCE_MS, Clock, Loop
 from honeywharf.net.log import log
 
@@ -28,12 +28,12 @@
     """Runs the balancer of one proxy."""
 
     def __init__(
-        self, settings: api.Settings, balancer: Balancer, pool: ConnectionPool, loop: Loop, clock: Clock,
+        self, settings: api.Settings, balancer: Balancer, pool: CallTransport, loop: Loop, clock: Clock,
         load_report_names: tuple[str, ...] = (),
     ) -> None:
         self.settings, self.balancer, self.pool, self.loop, self.clock = (
             settings, balancer, pool, loop, clock)
-        self.discovery: DiscoveryClient | None = None
+        self.discovery: EndpointDiscovery | None = None
         self.classes = {c.name: c for c in settings.classes}
         # The two names that each value of a load report may have: the one in the configuration file, and the
         # one that the settings map it to.
@@ -89,7 +89,8 @@
         self.open_request_count += 1
         pending.timer = self.loop.call_later(max(0.0, remaining_ms) / 1000.0, self._deadline_reached, pending)
         self._enqueue(api.RequestArrived(
-            request.id, request.class_name, remaining_ms, request.account, request.is_retry, request.session_id,
+            request.id, request.class_name, remaining_ms, request.account, request.is_retry,
+            request.session_id,
             http1.parse_named_numbers(request.facts).get("isWrite", 0.0) > 0 if request.facts else False,
             request.work_hint_ms,
         ), pending)
@@ -271,7 +272,7 @@
         if action.timeout_ms:
             attempt_deadline_at_ms = min(attempt_deadline_at_ms, now + action.timeout_ms)
         if (pending.finished or len(pending.attempts) >= self.settings.limits.max_attempts
-                or attempt_deadline_at_ms <= now + TIMER_EARLY_MS
+                or attempt_deadline_at_ms <= now + TIMER_TOLERANCE_MS
                 or not self.pool.has_endpoint(action.endpoint)):
             # The send would break a rule on final answers, repeated effects or drains. The driver enforces
             # these rules even if the balancer is faulty.
