--- a/honeywharf/balancer.py
+++ b/honeywharf/balancer.py
@@ -180,12 +180,14 @@
         """Pick random servers of a level, a few at most, until one may get the request and has capacity.
 
         `priority` is the index of the level. Level 2 is the last resort: it holds the same servers as level
-        1, but ignores their ejections, and in tiers other than the first also their concurrency limits.
+        1, but they need not pass `_is_healthy_for`, and in tiers other than the first they may exceed their
+        concurrency limits.
         """
         if request.first_attempt_that_may_have_run() is not None:  # only some servers may be safe for a retry
             level = [s for s in level if request.may_send_to(s.endpoint, self.now_ms)]
         last_server = request.attempts[-1].server if request.attempts else None
-        sheds_load = self.settings.tier == 0  # in other tiers the last level ignores the concurrency limits
+        # Other tiers check no zone limit here, and no server limit at level 2.
+        sheds_load = self.settings.tier == 0
         for _ in range(MAX_PICKS_PER_LEVEL if level else 0):
             server = level[int(self.random.random() * len(level))]
             if (server is last_server and len(level) > 1) or (
@@ -257,8 +259,10 @@
         request.limit_share = min(1.0, (request.worth / self.mean_worth) ** WORTH_EXPONENT)
         quota = self.tenant_quotas.get(tenant)
         if quota is None and tenant in self.tenants:
-            share_per_s = self.tenants[tenant].quota_per_s / self.settings.balancer_count
-            quota = self.tenant_quotas[tenant] = TenantQuota(share_per_s / 1000.0, share_per_s, self.now_ms)
+            local_quota_per_s = self.tenants[tenant].quota_per_s / self.settings.balancer_count
+            # The token bucket holds one second of the quota.
+            quota = self.tenant_quotas[tenant] = TenantQuota(
+                local_quota_per_s / 1000.0, local_quota_per_s, self.now_ms)
         if quota is not None and not quota.try_take(self.now_ms):
             request.worth *= self.settings.over_quota_worth_factor
             request.limit_share *= OVER_QUOTA_LIMIT_FRACTION
--- a/honeywharf/codec.py
+++ b/honeywharf/codec.py
@@ -66,7 +66,7 @@
     "rough": api.WeightSource.APPROXIMATE,
     "live": api.WeightSource.LIVE,
 }
-#: Names of load report fields in the settings, mapped to the names that the balancer uses.
+#: Names of load report fields in the settings, mapped to the names in `Settings.load_report_fields`.
 REPORT_FIELD_BY_NAME = {
     "busy_reqs": "in_flight",
     "pending": "queue",
--- a/honeywharf/interface.py
+++ b/honeywharf/interface.py
@@ -54,9 +54,9 @@
 
 
 class WeightSource(Enum):
-    """Where the weights of endpoints come from."""
+    """Where the weights of endpoints come from. The balancer uses the weights whatever their source is."""
 
-    NONE = "none"  # weights carry no information
+    NONE = "none"  # weights carry no information (the balancer uses them nevertheless)
     REGISTERED = "registered"  # the registered capacity
     APPROXIMATE = "approximate"  # approximately the registered capacity
     LIVE = "live"  # the registered capacity divided by the endpoint's current load
@@ -122,6 +122,7 @@
     `dedupe_scope`, `dedupe_window_ms`: where, and for how long, repeats of a KEYED request are dropped.
     `worth`: the value of a response, relative to that of other classes.
     `late_worth_fraction`: the fraction of the worth that a response between aim and deadline keeps.
+    The balancer does not use it.
     `ordered_by_key`: requests with the same ordering key (`RequestArrived.key`) run one at a time, in the
     order of their arrival. All classes with this flag share one set of ordering keys.
     `stream`: the response is streamed to the client.
@@ -189,7 +190,8 @@
     `cold_overload_factor`: a server that is still warming up becomes overloaded when its load exceeds its
     present share of the capacity by this factor.
     `cold_overload_window_ms`: how long the load must stay that high. The balancer does not use it.
-    `poll_interval_ms`: the longest time between two polls of discovery, if `polled_discovery` is set.
+    `poll_interval_ms`: the longest time that a balancer without an active watch may go without a poll of
+    discovery, if `polled_discovery` is set.
     `key_cooldown_ms`: how long an ordering key stays blocked after an attempt that may still be running.
     """
 
@@ -247,10 +249,11 @@
     `polled_discovery`: the balancer requests the endpoint list with WatchEndpoints when it starts and after
     each failure. Otherwise lists are pushed to it.
     `propagates_deadline`: a call carries the time that its caller has left, not the deadline of its class.
+    This program does not read the setting: the proxy always sends the remaining time.
     `load_report_fields`: the names of the values in a load report, in their order.
-    `min_event_interval_ms`: the shortest time between two batches of events.
-    `worth_per_work_unit`: worth is counted per unit of work, not per request.
-    `clients_mark_retries`: clients set `RequestArrived.is_retry`.
+    `min_event_interval_ms`: the shortest time between two batches of events. This program does not use it.
+    `worth_per_work_unit`: worth is counted per unit of work, not per request. This program does not use it.
+    `clients_mark_retries`: clients set `RequestArrived.is_retry`. This program does not use it.
     `domain`, `warm_keys`: read from the settings; this program does not use them.
     """
 
@@ -358,8 +361,8 @@
 class ListExpiryChanged:
     """The current endpoint list expires at `expires_at_ms`, and the balancer sends nothing from then on.
 
-    An expired list may be stale. If the time is in the past, the balancer sends nothing until the next
-    EndpointsListed event, which may be one that lists no change.
+    An expired list may be stale. If the time is in the past, the balancer sends nothing until another
+    event gives a later time, such as an EndpointsListed event that lists no change.
     """
 
     expires_at_ms: float
@@ -369,9 +372,10 @@
 class RequestArrived:
     """A request that needs exactly one final response within `remaining_ms`.
 
-    `is_retry`: the client marks it as a retry.
+    `is_retry`: the client marks it as a retry. The balancer does not use it.
     `key`: the ordering key, or empty. Requests of ordered classes with the same key run in order.
-    `work_hint_ms`: an estimate of its work as a time, if the client gives one.
+    `is_write`: the client marks it as a write. The balancer does not use it.
+    `work_hint_ms`: an estimate of its work as a time, if the client gives one. The balancer does not use it.
     """
 
     id: str
--- a/honeywharf/net/backend.py
+++ b/honeywharf/net/backend.py
@@ -33,8 +33,8 @@
 
 Outcome = api.Outcome
 # The outcome of a response that is malformed, incomplete or too large. The backend is up and has executed the
-# request. RESET would be wrong, because the balancer takes a broken connection for the end of the backend's
-# process.
+# request. RESET would be wrong, because it means that the connection broke and that the backend may still be
+# executing the request.
 UNREADABLE_RESPONSE_OUTCOME = Outcome.ERROR
 
 
--- a/honeywharf/net/discovery.py
+++ b/honeywharf/net/discovery.py
@@ -278,7 +278,7 @@
             # Discovery is down and learns of no changes, so the list is current. Other errors do not prove
             # that, because their cause may be in the network or in this proxy.
             self.expiry.confirm_current()
-        self._poll_failed(may_lack_changes=False)
+        self._poll_failed(poll_may_have_missed_changes=False)
 
     # Responses and failures.
 
@@ -346,7 +346,7 @@
         self._count("watches ended")
         log(f"discovery: {self._describe_poll(poll)}: discovery ended the watch")
         self.expiry.confirm_current()
-        self._poll_failed(may_lack_changes=False)
+        self._poll_failed(poll_may_have_missed_changes=False)
 
     def _poll_for_full_list(self) -> None:
         """Poll for the full list at once, because the changes received do not apply to the current list."""
@@ -411,12 +411,13 @@
         self._close_connection()
         self._start_next_poll()
 
-    def _poll_failed(self, *, may_lack_changes: bool = True) -> None:
+    def _poll_failed(self, *, poll_may_have_missed_changes: bool = True) -> None:
         """Retry after a backoff with jitter; with polled discovery, notify the balancer instead.
 
-        `may_lack_changes`: the current list may lack changes that discovery had at the time of the poll.
+        `poll_may_have_missed_changes`: discovery may have had changes at the time of this poll that the
+        current list lacks.
         """
-        self.may_have_missed_changes = self.may_have_missed_changes or may_lack_changes
+        self.may_have_missed_changes = self.may_have_missed_changes or poll_may_have_missed_changes
         self.poll, self.last_response_started_ms = None, float("-inf")
         self._cancel_poll_timer()
         self._close_connection()
--- a/honeywharf/net/downstream.py
+++ b/honeywharf/net/downstream.py
@@ -19,7 +19,7 @@
 LISTEN_BACKLOG = 1024
 #: A client that pipelines more requests than this is rejected. Clients normally send one request at a time.
 MAX_PIPELINED_REQUESTS = 8
-#: The same limit for the total body size of several pipelined requests.
+#: The maximum total body size of two or more pipelined requests.
 MAX_PIPELINED_BYTES = http1.MAX_REQUEST_BODY_BYTES
 #: A connection on which nothing has been received is closed after this time.
 FIRST_BYTE_TIMEOUT_MS = 2000.0
@@ -31,10 +31,11 @@
 REQUEST_TIMEOUT_MS = 2400.0
 #: A connection without a complete request is evicted before the idle ones only if it has waited this long.
 MIN_EVICTION_AGE_MS = 250.0
-#: A connection stays open for this time after its final response. Closing a socket with unread input resets
+#: A connection stays open for this time after its last response. Closing a socket with unread input resets
 #: the connection, and the client may lose the response.
 LINGER_TIMEOUT_S = 0.5
-#: If the final response is not fully written to the socket by then, the connection stays open for this time.
+#: If the last response is not fully written to the socket by then, the connection stays open for this time
+#: in total.
 UNWRITTEN_LINGER_TIMEOUT_S = 3.0
 #: Up to this much input is read and discarded while a connection lingers.
 MAX_DISCARDED_BYTES = 256 * 1024
@@ -97,7 +98,7 @@
             self._process_next()
 
     def _discard(self, size: int) -> None:
-        """Discard input that arrives after the final response, up to a limit.
+        """Discard input that arrives after the last response, up to a limit.
 
         If it were left unread, closing the socket would reset the connection, and the client could lose the
         response.
@@ -159,7 +160,7 @@
         """Close the sending side now, and the whole connection when the client closes it or after a timeout.
 
         If the connection were closed at once, unread input would reset it, and the client could lose the
-        final response.
+        last response.
         """
         self._begin_closing()
         self.frontend.set_group(self, self.frontend.lingering)
@@ -240,7 +241,7 @@
         self.awaiting_first_byte: dict[Connection, None] = {}  # nothing has been received
         self.receiving: dict[Connection, None] = {}  # part of a request has been received
         self.idle: dict[Connection, None] = {}  # the response to the last request has been sent
-        self.lingering: dict[Connection, None] = {}  # the final response has been sent
+        self.lingering: dict[Connection, None] = {}  # the last response has been sent
         self.server: asyncio.Server | None = None
         self.listener: socket.socket | None = None
         self.accept_tasks: set[asyncio.Task[object]] = set()
@@ -273,7 +274,7 @@
     def _evict(self) -> bool:
         """Close one connection in favour of a new one, and return whether one could be closed.
 
-        A lingering connection whose final response is fully written goes first: otherwise the connections of
+        A lingering connection whose last response is fully written goes first: otherwise the connections of
         many rejected clients, each of which lingers for a while, would use up all file descriptors. Next come
         connections that have sent nothing, or only part of a request, for some time, then the idle ones, and
         last new ones that have sent nothing.
--- a/honeywharf/net/driver.py
+++ b/honeywharf/net/driver.py
@@ -89,6 +89,7 @@
         self.requests[request.id] = pending
         self.open_request_count += 1
         pending.timer = self.loop.call_later(max(0.0, remaining_ms) / 1000.0, self._deadline_reached, pending)
+        # The account is the tenant, and the session id is the ordering key.
         self._enqueue(
             api.RequestArrived(
                 request.id,
--- a/honeywharf/policy/concurrency.py
+++ b/honeywharf/policy/concurrency.py
@@ -13,9 +13,9 @@
 #: A limit below its initial value grows this many times faster than one above it, because the initial limit
 #: is known to be safe.
 RECOVERY_SPEEDUP = 4.0
-#: A request of mean worth or more is admitted up to this many calls beyond the limit, one of less worth up
-#: to proportionally fewer, and one over its tenant's quota up to far fewer. Without these extra calls, a
-#: limit of about one call rejects a third of the calls by chance alone.
+#: The number of calls beyond the limit up to which a request is admitted. It is multiplied by the worth of
+#: the request relative to the mean (at most 1), and much smaller for a request over its tenant's quota.
+#: Without these extra calls, a limit of about one call rejects a third of the calls by chance alone.
 EXTRA_CALLS = 1.0
 #: Responses that take twice the target lower a limit by a factor of e in this time. It is about as long as it
 #: takes until responses show the effect of a change of the limit.
@@ -85,12 +85,13 @@
         step = min(MAX_ADAPTATION_STEP_MS, now_ms - self.last_adapted_ms) / ADAPTATION_TIME_MS
         self.last_adapted_ms = now_ms
         self.latency_ratio += (min(latency_ratio, 3.0) - self.latency_ratio) * LATENCY_RATIO_SMOOTHING
-        headroom = 1.0 - self.latency_ratio
+        latency_margin = 1.0 - self.latency_ratio
         in_use = self.in_flight > self.limit * self.capacity * MIN_UTILIZATION_TO_GROW
-        if headroom < 0 or in_use:  # Low latency proves nothing about a limit that is not in use.
-            if headroom > 0:
+        if latency_margin < 0 or in_use:  # Low latency proves nothing about a limit that is not in use.
+            if latency_margin > 0:
                 step /= (
                     GROWTH_SLOWDOWN / RECOVERY_SPEEDUP if self.limit < self.initial_limit
                     else GROWTH_SLOWDOWN)
             self.limit = max(
-                MIN_LIMIT_FRACTION * self.initial_limit, self.limit * (1.0 + max(-0.5, headroom * step)))
+                MIN_LIMIT_FRACTION * self.initial_limit,
+                self.limit * (1.0 + max(-0.5, latency_margin * step)))
--- a/honeywharf/policy/list_freshness.py
+++ b/honeywharf/policy/list_freshness.py
@@ -18,8 +18,8 @@
 
 import math
 
-# The propagation deadline of a change is this long after discovery had the change and was reachable, even if
-# the proxy's polls failed.
+# A list older than this may lack a change whose propagation deadline has passed: the deadline is this long
+# after discovery had the change and was reachable, even if the proxy's polls failed.
 MAX_AGE_MS = 6000.0
 # A proxy re-reads the address of discovery on SIGHUP. The propagation deadline of everything that discovery
 # lists at the new address is this long after the signal.
@@ -28,8 +28,9 @@
 # to the next poll must then arrive before the propagation deadline of the changes that the proxy missed.
 # Renewing an active watch this often costs little, because such a poll does not queue at discovery.
 MAX_WAIT_MS = 4000
-# The maximum age is at least this long, even if the settings require polls at shorter intervals. An active
-# watch is exempt from that requirement, and renewing it more often would overload discovery.
+# If the settings have a poll interval, the maximum age is that interval, but at least this time and at most
+# MAX_AGE_MS. An active watch is exempt from shorter poll intervals, and renewing it more often would overload
+# discovery.
 MAX_AGE_FLOOR_MS = 2000.0
 # The fraction of a list's maximum age that is left when the wait of a poll is over. It must suffice to notice
 # that no response has arrived and to send a new poll.
@@ -57,8 +58,8 @@
 
     def __init__(self, poll_interval_ms: float = 0.0) -> None:
         # If the proxy has no watch and has not polled for `poll_interval_ms`, the propagation deadline has
-        # passed for everything that discovery listed that long ago. 0 means that the settings have no such
-        # rule.
+        # passed for each change that discovery listed at least that long ago. 0 means that the settings have
+        # no such rule.
         required_max_age_ms = max(MAX_AGE_FLOOR_MS, poll_interval_ms) if poll_interval_ms > 0 else MAX_AGE_MS
         self.max_age_ms = min(MAX_AGE_MS, required_max_age_ms)
         self.last_known_up_to_date_ms = -math.inf  # discovery had nothing newer at this time
--- a/honeywharf/policy/outlier.py
+++ b/honeywharf/policy/outlier.py
@@ -176,7 +176,7 @@
 
         If such failures counted, healthy servers would be ejected because callers set short deadlines, or
         because the downstream tiers used up the time. The drawback is that, if all callers set short
-        deadlines, only broken connections reveal a failing server.
+        deadlines, timeouts and errors no longer reveal a failing server.
         """
         if event.outcome not in (api.Outcome.TIMEOUT, api.Outcome.ERROR):
             return False
