--- a/tests/test_connection_pool.py
+++ b/tests/test_connection_pool.py
@@ -43,7 +43,8 @@
     ("close", Outcome.RESET, None),
     (b"HTTP/1.1 200 OK\r\nContent-Le", Outcome.RESET, None),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort", Outcome.RESET, None),
-    (b"HTTP/1.1 200 OK\r\n\r\nno end is told", Outcome.RESET, None),  # neither Content-Length nor chunks
+    # This response has no framing, neither Content-Length nor chunks, so only the close ends it.
+    (b"HTTP/1.1 200 OK\r\n\r\nno end is told", Outcome.RESET, None),
     (b"not http at all\r\n\r\n", Outcome.ERROR, None),
     (b"HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nit keeps coming", Outcome.ERROR, None),
     (b"HTTP/1.1 200 OK\r\nX-Endless: " + b"x" * 40000, Outcome.ERROR, None),
@@ -63,7 +64,7 @@
         backend.scripted_responses = [scripted_response]
         async with synced_proxy([backend.discovery_entry("b")], bounds={"mostTries": 1}) as harness:
             client = await Client.connect(harness.port)
-            client.send("pay")
+            client.send("pay")  # Requests of this class must not be repeated.
             await with_timeout(backend.request_received.wait())
             if truncated:  # The backend closes the connection after an incomplete response.
                 for writer in list(backend.writers):
@@ -122,8 +123,8 @@
 class ExpiredConnectLoop(GatedLoop):
     """A loop in which each connect times out in the loop iteration after the connection is established.
 
-    `connections_allowed` does not hold back connects here: if it is set, the timeout comes only after the
-    connection is closed.
+    Unlike in the base class, `connections_allowed` holds back no connects. It selects the order of events:
+    if it is set, the timeout is raised only after the protocol has seen the connection close.
     """
 
     async def create_connection(self, *args: Any) -> Any:
@@ -144,7 +145,7 @@
         pool.set_endpoint("b", ("127.0.0.1", backend.port), None, accepts_calls=True)
         expired_connect_loop = ExpiredConnectLoop(loop)
         pool.loop = expired_connect_loop  # type: ignore[assignment]
-        if close_first:
+        if close_first:  # The flag makes the timeout wait for the close (see ExpiredConnectLoop).
             expired_connect_loop.connections_allowed.set()
         call = RecordingCall(b"")
         pool.start(call)
@@ -155,9 +156,9 @@
     run_test(main())
 
 
-@pytest.mark.parametrize("change", ["drains", "is removed", "restarts", "moves"])
+@pytest.mark.parametrize("change", ["drains", "is removed", "restarts", "changes address"])
 def test_nothing_is_sent_to_a_backend_that_changes_during_connect(change: str) -> None:
-    """The change always precedes the connection, because `start` and the change run in one loop iteration."""
+    """The change always comes before the connect completes, as no loop iteration runs in between."""
     async def main() -> None:
         backend, other = await Backend().start(), await Backend().start()
         address = ("127.0.0.1", backend.port)
@@ -169,7 +170,7 @@
             pool.remove_endpoint("b")
         else:
             pool.set_endpoint(
-                "b", ("127.0.0.1", other.port) if change == "moves" else address,
+                "b", ("127.0.0.1", other.port) if change == "changes address" else address,
                 2.0 if change == "restarts" else 1.0, accepts_calls=change != "drains")
         await with_timeout(call.finished.wait())
         assert call.outcomes == [Outcome.NOT_SENT]
@@ -404,10 +405,10 @@
     run_test(main())
 
 
-def test_the_proxy_closes_an_idle_connection_before_the_idle_timeout() -> None:
+def test_the_proxy_closes_an_idle_connection_before_the_backends_idle_timeout() -> None:
     async def main() -> None:
         backend = await Backend().start()
-        # The margin of 750 ms leaves an idle time of 50 ms.
+        # The proxy closes 750 ms before the backend's configured idle timeout, so after 50 ms.
         async with synced_proxy([backend.discovery_entry("b")], bounds={"connIdleMs": 800.0}) as harness:
             client = await Client.connect(harness.port)
             client.send()
@@ -452,7 +453,7 @@
             pool.loop = gated_loop  # type: ignore[assignment]
             client, second_client = await Client.connect(harness.port), await Client.connect(harness.port)
             client.send("pay", b"left")
-            await wait_until(lambda: pool.handshakes == 1)  # one connect has started
+            await wait_until(lambda: pool.handshakes == 1)  # `handshakes` counts the connects started.
             client.writer.close()
             await wait_until(lambda: any(isinstance(e, api.RequestAbandoned) for e in harness.events))
             gated_loop.connections_allowed.set()
@@ -488,7 +489,7 @@
         pool.start(third_call)  # There is no idle connection left to close.
         assert third_call.outcomes == []
         await with_timeout(third_call.finished.wait())
-        # The backend is not to blame for the proxy's connection limit.
+        # The proxy's connection limit is not counted as a failure of the backend.
         assert (first_call.outcomes, second_call.outcomes, third_call.outcomes) == (
             [Outcome.OK], [], [Outcome.NOT_SENT])
         await first.stop()
@@ -600,7 +601,7 @@
 
 
 def test_a_long_response_in_pieces_is_forwarded_whole(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The protocol between proxy and backend allows 64 KiB, but valid responses of 400 KB must not fail.
+    """Valid response bodies of 400 KB occur, so they must not fail at the protocol's body limit of 64 KiB.
 
     Such a response may take longer than the read timeout, as long as each piece arrives in time.
     """
--- a/tests/test_downstream.py
+++ b/tests/test_downstream.py
@@ -29,6 +29,7 @@
 
 @pytest.mark.parametrize(("raw", "status"), [
     (b"nonsense\r\n\r\n", 400),
+    # No class of this name is configured.
     (b"GET /api HTTP/1.1\r\n" + READ_HEADERS.replace(b"read", b"unheard") + b"\r\n", 400),
     (b"GET /api HTTP/1.1\r\n" + READ_HEADERS.replace(b"X-Time-Left: 900m\r\n", b"") + b"\r\n", 400),
     (b"GET /api HTTP/1.1\r\n" + READ_HEADERS.replace(b"900m", b"later") + b"\r\n", 400),
@@ -90,7 +91,7 @@
 
 
 @pytest.mark.parametrize("request_count", [downstream.MAX_PIPELINED_REQUESTS + 1, 400])
-def test_a_client_that_pipelines_too_much_gets_one_response_and_is_closed(request_count: int) -> None:
+def test_excess_pipelining_gets_one_response_and_closes_the_connection(request_count: int) -> None:
     async def main() -> None:
         backend = await Backend().start()
         backend.default_response = None
@@ -358,8 +359,8 @@
             for writer in list(backend.writers):
                 writer.write(make_response(200, b"done"))
             for client in (busy, late):
-                first, headers, body = await client.read_response()
-                assert (first.split()[1], headers[b"connection"], body) == (b"200", b"close", b"done")
+                status_line, headers, body = await client.read_response()
+                assert (status_line.split()[1], headers[b"connection"], body) == (b"200", b"close", b"done")
                 assert await client.reaches_eof()
             assert harness.task is not None
             await with_timeout(asyncio.shield(harness.task))  # ends once all connections are closed
@@ -370,8 +371,8 @@
 def test_a_client_in_the_accept_queue_is_served_when_the_listener_closes() -> None:
     """The client connects while the event loop is delayed, before the timer that closes the listener runs.
 
-    Closing the listener would reset the connection. To have this delay in every run, the test connects and
-    closes the listener within one loop iteration.
+    Unless the proxy first accepts the queued connections, closing the listener resets them. To reproduce the
+    delay of the event loop in every run, the test connects and closes the listener in one loop iteration.
     """
     async def main() -> None:
         backend = await Backend().start()
--- a/tests/test_slow_connections.py
+++ b/tests/test_slow_connections.py
@@ -1,4 +1,4 @@
-"""Tests of connections that are established slowly or never: the pool opens further ones beside them."""
+"""Tests of connections that are established slowly or never: the pool opens additional ones in parallel."""
 
 from __future__ import annotations
 
@@ -91,7 +91,9 @@
 
 
 @pytest.mark.parametrize("slow_connect_count", [1, 2, 3])
-def test_a_call_is_sent_on_a_further_connection_while_earlier_ones_are_slow(slow_connect_count: int) -> None:
+def test_a_call_is_sent_on_an_additional_connection_while_earlier_connects_are_pending(
+    slow_connect_count: int,
+) -> None:
     async def main() -> None:
         backend = await Backend().start()
         pool, loop = make_pool(backend, *range(slow_connect_count))
@@ -198,7 +200,7 @@
     run_test(main())
 
 
-def test_a_refused_connection_beside_a_slow_one_is_not_retried() -> None:
+def test_a_refused_connect_is_not_retried_while_another_is_pending() -> None:
     async def main() -> None:
         backend = await Backend().start()
         pool, loop = make_pool(backend, 0)
@@ -222,7 +224,7 @@
         assert (call.outcomes, loop.connect_count) == ([Outcome.OK], 2)
         # Make the idle connection unusable: its reuse delay does not end during the test.
         pool.backends["b"].idle_connections[0].last_response_ms += 1e6
-        # Without a pending connection, the call fails, but the backend is not to blame.
+        # Without a pending connect, the call fails, which is not counted as a failure of the backend.
         (call,) = start(pool, b"")
         await with_timeout(call.finished.wait())
         assert (call.outcomes, pool.total_connections) == ([Outcome.NOT_SENT], 1)
@@ -230,7 +232,7 @@
     run_test(main())
 
 
-@pytest.mark.parametrize("change", ["drains", "is removed", "restarts", "moves"])
+@pytest.mark.parametrize("change", ["drains", "is removed", "restarts", "changes address"])
 def test_a_change_of_the_backend_ends_waiting_calls_at_once(change: str) -> None:
     """All connections are pending at the time of the change, and nothing is sent on them later."""
     async def main() -> None:
@@ -238,7 +240,7 @@
         pool, loop = make_pool(backend, *range(1000))
         calls = start(pool, b"1", b"2")
         await wait_until(lambda: pool.slow_connect_count >= 3)
-        address = ("127.0.0.1", other.port if change == "moves" else backend.port)
+        address = ("127.0.0.1", other.port if change == "changes address" else backend.port)
         if change == "is removed":
             pool.remove_endpoint("b")
         else:
@@ -277,7 +279,7 @@
 
 
 def test_a_call_that_times_out_while_it_waits_for_a_connection_is_not_sent() -> None:
-    """The request must be refused with 503: it has not failed, and its backend is not to blame."""
+    """The request is rejected with 503, and the timeout is not counted as a failure of the backend."""
     async def main() -> None:
         async with proxy(*range(1000)) as (harness, backend, loop):
             client = await Client.connect(harness.port)
@@ -299,6 +301,7 @@
              "group": "all", "windowMs": window_ms}
 
     async def main() -> None:
+        # The arguments number the connects that are slow: all but the first, or none (an empty range).
         async with proxy(*range(1, 1000 if slow else 1), profiles=[order]) as (harness, backend, loop):
             backend.scripted_responses = [make_response(500, b"x", b"Connection: close")]
             client = await Client.connect(harness.port)
