--- a/tests/test_driver.py
+++ b/tests/test_driver.py
@@ -78,7 +78,7 @@
         self.endpoints = {"b1", "b2"}
         self.started: list[Call] = []
         self.aborted: list[Call] = []
-        self.closed_endpoints: list[str] = []
+        self.idle_closed_endpoints: list[str] = []  # the endpoints that `close_idle` was called for
         self.not_fully_written: set[Call] = set()
 
     def has_endpoint(self, endpoint: str) -> bool:
@@ -94,7 +94,7 @@
         return call in self.not_fully_written
 
     def close_idle(self, endpoint: str) -> None:
-        self.closed_endpoints.append(endpoint)
+        self.idle_closed_endpoints.append(endpoint)
 
 
 class ScriptedBalancer:
@@ -224,7 +224,7 @@
     assert harness.outcomes() == [(3, Outcome.NOT_SENT, False)]
     harness.driver.client_disconnected(request)
     harness.loop.run_callbacks()
-    harness.driver._timer_fired(0.0, "t")  # the request is finished
+    harness.driver._timer_fired(0.0, "t")  # the client has disconnected, so the request is finished
     harness.loop.run_callbacks()
     assert len(harness.pool.started) == 3
     assert harness.outcomes()[-1] == (4, Outcome.NOT_SENT, True)
@@ -271,7 +271,7 @@
     assert harness.driver.requests == {}
 
 
-def test_time_since_the_request_was_read_reduces_its_remaining_time(harness: DriverHarness) -> None:
+def test_time_since_the_request_was_received_reduces_its_remaining_time(harness: DriverHarness) -> None:
     request, client = http1.Request(), FakeClient()
     request.id, request.class_name, request.time_left_ms = "r9", "order", 1000.0
     request.received_ms = harness.clock.now_ms - 300.0  # it was queued behind another request
@@ -411,7 +411,7 @@
     assert harness.driver.requests == {}
 
 
-def test_the_balancer_is_told_to_drop_an_answered_request_after_an_exception(harness: DriverHarness) -> None:
+def test_an_answered_request_is_reported_as_abandoned_after_an_exception(harness: DriverHarness) -> None:
     def react(event: api.Event) -> list[api.Action]:
         if isinstance(event, api.AttemptEnded):
             raise ZeroDivisionError
@@ -452,10 +452,10 @@
     assert [type(e) for _, e in harness.balancer.received] == [api.EndpointsListed, api.RequestArrived]
 
 
-def test_timers_never_fire_early(harness: DriverHarness) -> None:
+def test_timer_fired_is_not_sent_before_its_due_time(harness: DriverHarness) -> None:
     harness.driver._execute(api.SetTimer(harness.clock.now_ms + 50.0, "t"))
     (timer,) = harness.loop.timers
-    harness.clock.now_ms += 49.5
+    harness.clock.now_ms += 49.5  # the event loop's timer fires a little early
     timer.done = True
     timer.callback()
     harness.loop.run_callbacks()
@@ -464,7 +464,7 @@
     assert harness.events(api.TimerFired) == [api.TimerFired("t")]
 
 
-def test_load_report_fields_are_read_by_configured_or_mapped_name_and_returned_in_settings_order(
+def test_load_report_fields_are_parsed_by_configured_or_settings_name_and_returned_in_settings_order(
     harness: DriverHarness,
 ) -> None:
     assert harness.driver._parse_load_report(b"busy_reqs=7,pending=2") == (2.0, 7.0)
@@ -502,7 +502,7 @@
 
 
 def test_every_request_gets_one_answer_under_random_events(harness: DriverHarness) -> None:
-    """Outcomes, cancels, disconnects, exceptions and timeouts are random; none stays in `driver.requests`."""
+    """Outcomes, cancels, disconnects, exceptions and timeouts are random; `driver.requests` ends empty."""
     rng = random.Random(4)
     def react(event: api.Event) -> list[api.Action]:
         if rng.random() < 0.02:
--- a/tests/test_earlier_version_compatibility.py
+++ b/tests/test_earlier_version_compatibility.py
@@ -52,8 +52,8 @@
 def masked_metrics(line: str) -> list[str]:
     """Return the items `name=value` of a metric line with numbers masked, in their order.
 
-    Two items depend on the load of the machine and are left out: the poll in flight, whose words have no
-    `=`, and `late_connections`, the number of slow connects.
+    Two items depend on the load of the machine and are left out: the item for the poll in flight, which
+    is not of the form `name=value`, and `late_connections`, the number of slow connects.
     """
     items = [item for item in line.split()[1:] if "=" in item and not item.startswith("late_connections=")]
     return [re.sub(r"\d+(\.\d+)?", "N", item) for item in items]
--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -42,6 +42,7 @@
         assert (request.method, request.target, request.body) == (b"POST", b"/api?x=1", b"abc")
         assert (request.id, request.class_name, request.account, request.session_id) == (
             "9b1f", "checkout", "acme", "7f3a")
+        # `work_hint_ms` is the header X-Weight-Hint, which is in microseconds.
         assert (request.time_left_ms, request.work_hint_ms, request.is_retry) == (480.0, 2.5, True)
         assert http1.parse_named_numbers(request.facts) == {"isWrite": 1.0}
         assert request.idempotency_key == b"5c0f"
@@ -108,14 +109,14 @@
     assert reader.error.status == status
 
 
-def test_a_valid_request_before_a_malformed_one_is_read() -> None:
+def test_a_valid_request_before_a_malformed_one_is_parsed() -> None:
     reader = make_reader()
     (request,) = reader.feed(VALID_REQUEST + b"nonsense\r\n\r\n")
     assert request.id == "9b1f"
     assert reader.error is not None
 
 
-def test_a_response_and_its_load_report_are_read() -> None:
+def test_a_response_and_its_load_report_are_parsed() -> None:
     reader = http1.ResponseReader()
     raw = b"HTTP/1.1 503 X\r\nX-Unprocessed: 1\r\nX-Backend-Load: queue=2\r\nContent-Length: 2\r\n\r\nno"
     assert reader.feed(raw[:-1]) is None
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -65,10 +65,13 @@
         assert proxy.process.wait(WAIT_TIMEOUT_S) == 0
 
 
-def test_open_requests_complete_and_the_listener_recovers_when_descriptors_run_out(tmp_path: Path) -> None:
-    """With more clients than descriptors, open requests are served and the listener recovers."""
+def test_a_partially_received_request_completes_when_descriptors_run_out_and_the_listener_recovers(
+    tmp_path: Path,
+) -> None:
+    """With more clients than descriptors, a partial request is completed, and the listener recovers."""
     with ProxyProcess(tmp_path, descriptors=64) as proxy:
-        first = proxy.connect()  # its request is incomplete, so it must not be closed for another client
+        # The request of this client is incomplete, but too recent (MIN_EVICTION_AGE_MS) to be evicted.
+        first = proxy.connect()
         first.sendall(b"POST /nowhere HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
         assert first.recv(4096).startswith(b"HTTP/1.1 100 ")
         other_clients = []
@@ -133,8 +136,8 @@
         for service in (second, first, second):
             file.write_text(json.dumps({**valid, "discovery": service.address}))
             proxy.process.send_signal(signal.SIGHUP)
-            # Only one poll is in flight at a time, so at most one of these was sent before the reload; the
-            # later ones use the new address.
+            # Only one poll is in flight at a time, so at most one of these three polls was sent before the
+            # reload; the later ones use the new address.
             lines = [service.answer_poll() for _ in range(3)]
             assert all(line.startswith(b"GET /registry/instances?after=1&wait_ms=") for line in lines)
             assert any(b"&wait_ms=0 " in line for line in lines)  # the first poll at an address does not wait
