--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,6 +1,7 @@
 """The discovery client over real sockets, and the effect of endpoint lists on the connection pool.
 
-A poll is one HTTP request to discovery. A watch is the chain of long polls that discovery keeps open.
+A poll is one HTTP request to discovery. A watch is a sequence of consecutive long polls,
+each of which waits at discovery until there is a change.
 """
 
 from __future__ import annotations
@@ -73,7 +74,7 @@
 
 
 @pytest.mark.parametrize("changed_entry_count", [0, 1])
-def test_an_unanswered_poll_that_was_started_while_a_list_is_processed_times_out(
+def test_a_poll_started_while_a_list_is_processed_still_times_out(
     changed_entry_count: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Processing the list must not cancel the timer of the poll that was sent meanwhile.
@@ -211,8 +212,8 @@
     run_test(main())
 
 
-def test_a_poll_in_the_queue_of_discovery_does_not_time_out_early() -> None:
-    """A proxy that gave up after a second and polled again would go back to the end of that queue."""
+def test_a_poll_queued_by_the_discovery_server_has_a_long_enough_timeout() -> None:
+    """A proxy that gave up after a second and polled again would go back to the end of the queue."""
     async def main() -> None:
         new_discovery = await Discovery().start()
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
@@ -286,7 +287,7 @@
     run_test(main())
 
 
-def test_the_answer_to_a_poll_in_flight_is_not_taken_as_the_full_list_requested_meanwhile() -> None:
+def test_the_response_to_a_pending_long_poll_does_not_satisfy_a_full_list_request() -> None:
     async def main() -> None:
         async with synced_proxy([discovery_entry("b", 1)]) as harness:
             await wait_until(lambda: len(harness.discovery.request_lines) == 2)
@@ -301,7 +302,7 @@
     run_test(main())
 
 
-def test_a_rejected_poll_does_not_count_as_timed_out() -> None:
+def test_a_rejected_poll_is_not_retried_by_the_discovery_client_itself() -> None:
     """Otherwise the proxy would skip the balancer's backoff, and all proxies would poll each second."""
     async def main() -> None:
         async with started_proxy([discovery_entry("b", 1)], discovery="ask") as harness:
@@ -335,11 +336,11 @@
     run_test(main())
 
 
-def test_where_lists_are_pushed_polls_are_retried_within_the_drain_grace_period() -> None:
+def test_with_a_discovery_agent_polls_are_retried_within_the_drain_grace_period() -> None:
     """A discovery agent (which pushes lists) was unreachable for long; its new list has a draining backend.
 
-    The propagation deadline of the drain, after which the proxy has to obey it whether or not a response has
-    arrived, passes as soon as the agent returns.
+    The propagation deadline of the drain passes as soon as the agent returns, so the proxy has to apply the
+    drain immediately.
     """
     async def main() -> None:
         draining, remaining = await Backend().start(), await Backend().start()
@@ -354,6 +355,7 @@
         await wait_until(lambda: harness.proxy.discovery_client.connect_task is None)
         timer, now = harness.proxy.discovery_client.poll_timer, asyncio.get_running_loop().time()
         assert timer is not None
+        # The retry has to come well within `stopSendingWithinMs` (120 ms).
         assert timer.when() - now <= 0.07
         await discovery.start(port)
         discovery.publish(2, draining.discovery_entry("draining", lifecycle="draining"))
--- a/tests/test_discovery_address_change.py
+++ b/tests/test_discovery_address_change.py
@@ -138,7 +138,7 @@
 ) -> None:
     """Discovery has lost its history in a restart, or another service answers at its address.
 
-    Otherwise the proxy would keep entries that discovery does not list any more.
+    Without a full list, the proxy would keep entries that discovery does not list any more.
     """
     async def main() -> None:
         new_discovery = await Discovery().start()
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -1,6 +1,6 @@
 """When the current endpoint list expires, over real sockets.
 
-The propagation deadline of a change is the fixed time after which the proxy has to obey the change, whether
+The propagation deadline of a change is the fixed time after which the proxy has to act on the change, whether
 or not a response with it has arrived. A list expires when its age is unknown, or at the propagation deadline
 of changes that the list may lack.
 """
@@ -46,13 +46,13 @@
 
 @pytest.mark.parametrize("mode", ["ask", "push"])
 @pytest.mark.parametrize("silent", [False, True])
-def test_nothing_is_sent_on_the_cached_list_of_the_previous_process(mode: str, silent: bool) -> None:
+def test_nothing_is_sent_based_on_the_cached_list_of_the_previous_process(mode: str, silent: bool) -> None:
     """A backend started to drain while the proxy was down for an unknown time.
 
-    Where lists are pushed, the propagation deadline of the drain passes as soon as the proxy starts; where
-    they are polled, 6 s after the drain started. Clients that do not check the proxy's readiness send
+    With pushed lists, the propagation deadline of the drain passes as soon as the proxy starts. With polled
+    lists, it passes 6 s after the drain started. Clients that do not check the proxy's readiness send
     requests all the same. While discovery is silent, the proxy is not ready until its first poll times out.
-    From then on it is ready, but sends nothing and goes on polling.
+    From then on the proxy is ready, but sends nothing and goes on polling.
     """
     async def main() -> None:
         draining, remaining = await Backend().start(), await Backend().start()
@@ -94,14 +94,14 @@
 ) -> None:
     """The propagation deadline of a change is after 6 s, even if no poll has brought the change.
 
-    From then on it sends nothing until a list arrives. Responses do not show that a backend may be used,
-    because draining backends respond too.
+    From then on the proxy sends nothing until a list arrives. Responses do not show that a backend may
+    be used, because draining backends respond too.
     """
     async def main() -> None:
         draining, remaining = await Backend().start(), await Backend().start()
         entries = [draining.discovery_entry("draining"), remaining.discovery_entry("remaining")]
         contract = {"askEveryMs": 1e6, "stopSendingWithinMs": 2e6}
-        report = {"fields": [], "how": "silent"}
+        report = {"fields": [], "how": "silent"}  # The backends send no load reports.
         async with started_proxy(entries, discovery=mode, contract=contract, report=report) as harness:
             harness.discovery.publish(1)
             harness.proxy.discovery_client.watch()
@@ -154,10 +154,11 @@
 
 
 def test_a_pushed_list_does_not_expire_while_the_agent_is_down() -> None:
-    """A discovery agent that accepts polls but does not respond learns of no changes.
+    """With pushed lists, the proxy polls a discovery agent.
 
-    So the list stays current. With polled discovery there is no agent, and the proxy cannot tell whether an
-    unresponsive discovery is down or has a long queue.
+    An agent that accepts polls but does not respond learns of no changes, so the list stays current.
+    With polled discovery there is no agent, and the proxy cannot tell whether an unresponsive discovery is
+    down or has a long queue.
     """
     async def main() -> None:
         backend = await Backend().start()
@@ -193,7 +194,7 @@
             harness.proxy.pool.loop = gated_loop  # type: ignore[assignment]
             client = await Client.connect(harness.port)
             client.send("pay")
-            await wait_until(lambda: harness.proxy.pool.handshakes == 1)  # one connect has started
+            await wait_until(lambda: harness.proxy.pool.handshakes == 1)  # One connect is pending.
             harness.proxy.discovery_client._on_expiry_due()
             assert await client.read_status() == 503
             gated_loop.connections_allowed.set()
@@ -203,7 +204,7 @@
     run_test(main())
 
 
-def test_a_list_stays_current_if_discovery_refuses_connects_and_expires_4_s_after_an_address_change() -> None:
+def test_a_list_stays_current_if_discovery_is_unavailable_and_expires_4_s_after_an_address_change() -> None:
     async def main() -> None:
         discovery, new_discovery = await Discovery().start(), await Discovery().start()
         port = discovery.port
@@ -217,7 +218,8 @@
         await wait_until(lambda: len(discovery.request_lines) == 2)
         assert b"&wait_ms=4000 " in discovery.request_lines[1]
         set_time_until_expiry(harness, 3000.0)
-        # Discovery rejects a long poll that it already holds, so nothing had changed until then.
+        # Discovery would have responded to the pending long poll with any change, so a rejection means that
+        # nothing had changed until then.
         discovery.responses.put_nowait(make_response(503))
         await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
         assert seconds_until_expiry(harness) > 4.0
@@ -239,7 +241,7 @@
 def test_an_unanswered_poll_is_retried_before_the_propagation_deadline_of_the_changes_it_missed(
     mode: str, is_long: bool,
 ) -> None:
-    """A poll without a response misses a drain.
+    """The response that would have reported a drain is lost.
 
     The propagation deadline of the drain is 2 s after the end of a long poll's wait, or 6 s after a short
     poll went unanswered. The balancer's backoff after a failed poll does not fit into that time, and half of
@@ -280,8 +282,8 @@
     run_test(main())
 
 
-def test_a_poll_sent_too_late_to_continue_a_watch_does_not_wait_for_changes() -> None:
-    """A watch is the chain of long polls that discovery keeps open; it ends if the next poll comes too late.
+def test_a_poll_delayed_after_the_last_response_is_sent_as_a_short_poll() -> None:
+    """A watch is a sequence of consecutive long polls; it ends if the next poll is sent too late.
 
     Such a late poll queues at discovery like the first one. If discovery rejects it from the queue, that does
     not prove that nothing had changed until then, as it does for a long poll that discovery already holds.
