--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -339,8 +339,8 @@
 def test_with_a_discovery_agent_polls_are_retried_within_the_drain_grace_period() -> None:
     """A discovery agent (which pushes lists) was unreachable for long; its new list has a draining backend.
 
-    The propagation deadline of the drain passes as soon as the agent returns, so the proxy has to apply the
-    drain immediately.
+    The propagation deadline of the drain passes as soon as the agent returns. The proxy has to poll the agent
+    within the drain grace period that starts then, so its backoff is at most half of that period.
     """
     async def main() -> None:
         draining, remaining = await Backend().start(), await Backend().start()
@@ -355,7 +355,7 @@
         await wait_until(lambda: harness.proxy.discovery_client.connect_task is None)
         timer, now = harness.proxy.discovery_client.poll_timer, asyncio.get_running_loop().time()
         assert timer is not None
-        # The retry has to come well within `stopSendingWithinMs` (120 ms).
+        # The longest backoff is half of `stopSendingWithinMs`, 60 ms. The other 10 ms are a margin.
         assert timer.when() - now <= 0.07
         await discovery.start(port)
         discovery.publish(2, draining.discovery_entry("draining", lifecycle="draining"))
--- a/tests/test_list_expiry.py
+++ b/tests/test_list_expiry.py
@@ -127,6 +127,7 @@
                 if mode == "ask" and failure != "timed out":
                     await wait_until(lambda: received_lists(harness)[-1].kind is api.ListKind.FAILED)
                     harness.proxy.discovery_client.watch()
+                # With pushed lists, the client itself sets a timer for its next poll after a failure.
                 elif (mode == "push" and harness.proxy.discovery_client.poll_timer is not None
                         and failure != "timed out"):
                     await wait_until(lambda: harness.proxy.discovery_client.poll is None)
@@ -194,7 +195,7 @@
             harness.proxy.pool.loop = gated_loop  # type: ignore[assignment]
             client = await Client.connect(harness.port)
             client.send("pay")
-            await wait_until(lambda: harness.proxy.pool.handshakes == 1)  # One connect is pending.
+            await wait_until(lambda: harness.proxy.pool.handshakes == 1)  # One connect has started.
             harness.proxy.discovery_client._on_expiry_due()
             assert await client.read_status() == 503
             gated_loop.connections_allowed.set()
