--- a/honeywharf/__main__.py
+++ b/honeywharf/__main__.py
@@ -26,9 +26,11 @@
 
 # The file descriptors are divided between the proxy itself, the connections to backends, and the clients.
 # A request that is being served holds one descriptor for its client and one for its backend, so there can be
-# about as many such requests as connections to backends. The remaining descriptors are for idle clients. The
-# proxy itself needs some for the interpreter, the event loop, the listener and discovery, and some more to
-# accept connections while others are closing.
+# about as many such requests as connections to backends. The deployment's terms let clients hold at most a
+# third of the descriptors for requests; each such request needs a connection to a backend, so the share for
+# these connections, 2/5, is more than that third. The remaining descriptors are for clients, including idle
+# ones. The proxy itself needs some for the interpreter, the event loop, the listener and discovery, and some
+# more to accept connections while others are closing.
 OWN_DESCRIPTOR_SHARE = 1 / 10
 MIN_OWN_DESCRIPTORS = 20
 UPSTREAM_DESCRIPTOR_SHARE = 2 / 5
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -61,10 +61,10 @@
 
 
 def test_nothing_is_sent_while_the_endpoint_list_is_expired() -> None:
-    """Once its list has expired, the balancer is treated as informed of all changes that the list may lack.
+    """Once the list has expired, it may lack changes whose propagation deadline has passed.
 
-    Any listed server may be draining or gone. A server that is draining may still respond, so a response does
-    not show that the server may get calls.
+    The balancer must obey these changes without knowing them: any listed server may be draining or gone. A
+    server that is draining may still respond, so a response does not show that the server may get calls.
     """
     harness = BalancerHarness(make_settings(polled_discovery=True))
     harness.feed_list(TWO_ZONE_ENDPOINTS)
--- a/tests/test_list_freshness.py
+++ b/tests/test_list_freshness.py
@@ -161,8 +161,8 @@
 def test_nothing_is_sent_while_a_response_of_discovery_is_incomplete(response_end: str) -> None:
     """The proxy has received only part of a response that holds a change, and can't know the change yet.
 
-    It is treated as informed of the change once discovery has written the response. From then on it must act
-    on the change, whether or not the rest has arrived.
+    The propagation deadline of the change comes when discovery writes the response. From then on the proxy
+    must obey the change, whether or not the rest of the response has arrived.
     """
     async def main() -> None:
         removed, kept = await Backend().start(), await Backend().start()
--- a/tests/test_stale_list_after_downtime.py
+++ b/tests/test_stale_list_after_downtime.py
@@ -32,9 +32,9 @@
 QUEUE_TIMEOUT_S = 1.0
 # `stopSendingWithinMs` of the settings, plus a tolerance of 50 ms for real sockets.
 GRACE_S = 0.25 + 0.05
-# A proxy is treated as informed of a change this long after discovery has it: from then on it must act on the
-# change, whether or not a response has arrived.
-INFORMED_AFTER_S = 6.0
+# The propagation deadline of a change is this long after discovery learned of it. From then on the proxy must
+# obey the change, whether or not a response with it has arrived.
+PROPAGATION_DEADLINE_S = 6.0
 # Discovery refuses all polls for this long after the proxy has started. A proxy that treated its cached list
 # as fresh at start-up would use it for longer, for 6 s.
 OBSERVED_S = 3.6
@@ -82,8 +82,8 @@
     """The endpoint list that the new process loads still contains the removed servers, and has no known age.
 
     Discovery is busy with the thousands of entries that it sends to other proxies, so the polls of the new
-    process wait in its queue and are refused. The proxy is treated as informed of the removal 6 s after
-    discovery has it, regardless of when the process started.
+    process wait in its queue and are refused. The propagation deadline of the removal is 6 s after discovery
+    learned of it, regardless of when the process started.
     """
     async def main() -> None:
         remaining, removed = await Backend().start(), await Backend().start()
@@ -112,13 +112,16 @@
             await wait_until(lambda: len(remaining.requests) >= request_count + 50)
             stop.set()
             await asyncio.gather(*clients)
-        informed_s = max(started_s, removed_s + INFORMED_AFTER_S)
+        # A process that starts after the propagation deadline must obey the removal from its start on.
+        must_obey_from_s = max(started_s, removed_s + PROPAGATION_DEADLINE_S)
         delays_s = [
-            round(at_s - informed_s, 2) for at_s in removed.request_times if at_s > informed_s + GRACE_S
+            round(at_s - must_obey_from_s, 2)
+            for at_s in removed.request_times
+            if at_s > must_obey_from_s + GRACE_S
         ]
         assert not delays_s, (
-            f"{len(delays_s)} requests to removed servers, the first {delays_s[0]} s after the time from "
-            "which the proxy is treated as informed of the removal")
+            f"{len(delays_s)} requests to removed servers, the first {delays_s[0]} s after the later of "
+            "the propagation deadline of the removal and the start of the proxy")
         for backend in (remaining, removed):
             await backend.stop()
         await discovery.stop()
@@ -143,7 +146,7 @@
             client.send()
             assert await client.read_status() == 200
             proxy.process.send_signal(signal.SIGSTOP)
-            await asyncio.sleep(INFORMED_AFTER_S + GRACE_S)
+            await asyncio.sleep(PROPAGATION_DEADLINE_S + GRACE_S)
             # The request uses a new connection, because the first one has been idle for 6 s, and the proxy
             # may close it while the request is on its way.
             client = await Client.connect(proxy.port)
