--- a/tests/test_earlier_version_compatibility.py
+++ b/tests/test_earlier_version_compatibility.py
@@ -117,6 +117,7 @@
                 writer.close()
             while len(exchange.metrics) < len(METRIC_LINES):
                 line = (await process.stderr.readline()).decode()
+                assert line, "the proxy ended before it logged its metrics"
                 if line.startswith(METRIC_LINES):
                     exchange.metrics[line.split()[0]] = masked_metrics(line)
     finally:
